--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -187,7 +187,7 @@
         self.messages = [(float(at), fleet.drawn[int(n)].number) for at, n in zip(times, chosen, strict=True)]
         self.dests = {dest for _, dest in self.messages}
         self.known = tuple(
-            io.HostEntry(
+            io.EndpointEntry(
                 endpoint.name,
                 self.zones[endpoint.zone],
                 self.kinds[dest.kind],
@@ -200,7 +200,8 @@
             for endpoint in dest.endpoints
         )
         self.addresses = {
-            entry.host: process.spec.addresses.get(entry.host, idle_address(0)) for entry in self.known
+            entry.endpoint: process.spec.addresses.get(entry.endpoint, idle_address(0))
+            for entry in self.known
         }
         self.held: dict[str, Held] = {}
         self.index = process.spec.index
@@ -231,7 +232,7 @@
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding"),
         )
         self.up = True
-        self.post(io.Roster(io.ListScope.CACHED, self.known), *recovered)
+        self.post(io.EndpointUpdate(io.UpdateScope.CACHED, self.known), *recovered)
         self.watcher = asyncio.get_running_loop().create_task(self._watch())
 
     async def die(self) -> None:
@@ -262,7 +263,7 @@
         self.process.counts.restarts += 1
         if not killed:
             now = time.monotonic_ns()
-            self.post(io.Stopping(now + int(STOP_TIME * NS), now + int((STOP_TIME + 2) * NS)))
+            self.post(io.ShutdownStarted(now + int(STOP_TIME * NS), now + int((STOP_TIME + 2) * NS)))
             end = time.monotonic() + STOP_TIME
             while time.monotonic() < end and self.held:
                 await asyncio.sleep(0.05)
@@ -270,7 +271,7 @@
         await asyncio.sleep(DOWN_TIME + START_TIME)
         now = time.monotonic_ns()
         recovered: list[io.Event] = [
-            io.Recovered(
+            io.MessageRecovered(
                 ref,
                 0,
                 held.dest,
@@ -300,7 +301,7 @@
                 continue
             now, ref = time.monotonic_ns(), f"{self.name}-{n:06x}"
             self.held[ref] = Held(dest, f"k-{ref}", now + patience, now, b"%s:" % ref.encode() * (1 + n % 40))
-            self.post(io.Arrived(ref, 0, 0, dest, f"k-{ref}", patience))
+            self.post(io.MessageArrived(ref, 0, 0, dest, f"k-{ref}", patience))
 
     # ---- its decisions
 
@@ -337,15 +338,15 @@
                 probe = loop.create_task(self._probe(host, stop_at))
                 self.probing.add(probe)
                 probe.add_done_callback(self.probing.discard)
-            case io.Wake(after, token):
-                self._later(after / NS, lambda: self.post(io.Alarm(token)))
-            case io.Refuse(call, _):
+            case io.SetTimer(after, token):
+                self._later(after / NS, lambda: self.post(io.TimerExpired(token)))
+            case io.Reject(call, _):
                 counts.refused += 1
                 self.held.pop(call, None)
             case io.Fail(call):
                 counts.dead += 1
                 self.held.pop(call, None)
-            case io.Close() | io.Subscribe() | io.Log():
+            case io.CloseIdleConnections() | io.Subscribe() | io.Log():
                 pass  # idle connections close by themselves, it always watches, and nobody reads its log
 
     def _later(self, seconds: float, do: Callable[[], None]) -> None:
@@ -384,14 +385,16 @@
         if done and self.held.pop(ref, None) is not None:
             counts.delivered += 1
             self.process.delivery.record_value(max(1, (now - held.at) // 1000))
-        self.post(io.Verdict(ref, attempt, host, status, now - begun, done, wait * 1_000_000, False, None))
+        self.post(
+            io.AttemptEnded(ref, attempt, host, status, now - begun, done, wait * 1_000_000, False, None)
+        )
 
     async def _probe(self, host: str, stop_at: int) -> None:
         begun = time.monotonic_ns()
         self.process.counts.probes += 1
         seconds = max(0.001, (stop_at - begun) / NS) if stop_at else 1.5
         status, _ = await self._exchange("GET", host, "/-/healthy", seconds, {}, None)
-        self.post(io.Probed(host, status, time.monotonic_ns() - begun, None))
+        self.post(io.ProbeEnded(host, status, time.monotonic_ns() - begun, None))
 
     async def _exchange(
         self,
@@ -472,7 +475,7 @@
             if line["group"] in self.dests:
                 self.addresses[line["name"]] = line["address"]
                 entries.append(
-                    io.HostEntry(
+                    io.EndpointEntry(
                         line["name"],
                         self.zones[line["zone"]],
                         self.kinds[line["type"]],
@@ -482,7 +485,9 @@
                     )
                 )
         if entries or whole:
-            self.post(io.Roster(io.ListScope.WHOLE if whole else io.ListScope.CHANGES, tuple(entries)))
+            self.post(
+                io.EndpointUpdate(io.UpdateScope.SNAPSHOT if whole else io.UpdateScope.DELTA, tuple(entries))
+            )
 
 
 def outcome(status: int, told: str) -> tuple[io.Status, int]:
--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -624,7 +624,7 @@
     read = time.process_time() - start
     pacer, start = Pacer(settings(), seed), time.process_time()
     catalog.commit(news.staged, news.index, news.whole)
-    pacer.handle(0, [io.Roster(io.ListScope.WHOLE, ())])
+    pacer.handle(0, [io.EndpointUpdate(io.UpdateScope.SNAPSHOT, ())])
     taken = time.process_time() - start
     kept = resident_here() - at_start
     out: list[io.Send] = []
@@ -633,12 +633,16 @@
     for i in range(events):  # 500 a second, each answered well 100 messages later
         now += SECOND // 500
         dest = draw.randrange(size)
-        batch: list[io.Event] = [io.Arrived(f"m{i}", 0, 0, dest, f"k{i}", 24 * SECOND)]
+        batch: list[io.Event] = [io.MessageArrived(f"m{i}", 0, 0, dest, f"k{i}", 24 * SECOND)]
         if dest not in pacer.introduced:
-            batch.insert(0, io.Introduced(dest, tuple(one.entry() for one in catalog.find(dest))))
+            batch.insert(0, io.DestinationLoaded(dest, tuple(one.entry() for one in catalog.find(dest))))
         if len(out) > 100:
             sent = out.pop(0)
-            batch.append(io.Verdict(sent.call, 0, sent.host, io.Status.OK, SECOND // 5, True, 0, False, None))
+            batch.append(
+                io.AttemptEnded(
+                    sent.message_id, 0, sent.endpoint, io.Status.OK, SECOND // 5, True, 0, False, None
+                )
+            )
         out += [action for action in pacer.handle(now, batch) if isinstance(action, io.Send)]
     return {
         "read_s": read,
@@ -655,10 +659,11 @@
     pacer.handle(
         0,
         [
-            io.Roster(
-                io.ListScope.WHOLE,
+            io.EndpointUpdate(
+                io.UpdateScope.SNAPSHOT,
                 tuple(
-                    io.HostEntry(f"s-{n}", 0, 0, n % 1600, io.Availability.RUNNING, 20.0) for n in range(2240)
+                    io.EndpointEntry(f"s-{n}", 0, 0, n % 1600, io.Availability.RUNNING, 20.0)
+                    for n in range(2240)
                 ),
             )
         ],
@@ -670,7 +675,7 @@
         pacer.handle(
             now,
             [
-                io.Arrived(f"b{n:015x}", 0, 0, n % down, f"k{n:015x}", 600 * SECOND)
+                io.MessageArrived(f"b{n:015x}", 0, 0, n % down, f"k{n:015x}", 600 * SECOND)
                 for n in range(i, min(i + batch, size))
             ],
         )
@@ -678,7 +683,7 @@
     for i in range(200):
         now += SECOND // 500
         start = time.process_time()
-        pacer.handle(now, [io.Arrived(f"w{i}", 0, 0, down + i, f"w{i}", 600 * SECOND)])
+        pacer.handle(now, [io.MessageArrived(f"w{i}", 0, 0, down + i, f"w{i}", 600 * SECOND)])
         times.append(time.process_time() - start)
     return {"turn_ms": statistics.median(times) * 1e3, "bytes_each": kept * 1e6 / size}
 
@@ -696,10 +701,10 @@
         self.calls: list[int] = []  # when each went out
         self.held = 0  # nanoseconds of slots so far
         self.ended = 0  # messages that came back undelivered
-        entry = io.HostEntry("s-1", 0, 0, 1, io.Availability.RUNNING, 20.0)
+        entry = io.EndpointEntry("s-1", 0, 0, 1, io.Availability.RUNNING, 20.0)
         for n in range(relays):
-            self._turn(0, n, io.Roster(io.ListScope.WHOLE, (entry,)))
-        self._put(0, 0, io.Arrived("", 0, 0, 1, None, 0))
+            self._turn(0, n, io.EndpointUpdate(io.UpdateScope.SNAPSHOT, (entry,)))
+        self._put(0, 0, io.MessageArrived("", 0, 0, 1, None, 0))
 
     def _put(self, when: int, relay: int, event: io.Event) -> None:
         self.count += 1
@@ -723,13 +728,13 @@
                     self._put(
                         now + after,
                         relay,
-                        io.Verdict(
+                        io.AttemptEnded(
                             call, attempt, host, status, after, status is io.Status.OK, 0, False, None
                         ),
                     )
-                case io.Wake(after, token):
-                    self._put(now + after, relay, io.Alarm(token))
-                case io.Refuse() | io.Fail():
+                case io.SetTimer(after, token):
+                    self._put(now + after, relay, io.TimerExpired(token))
+                case io.Reject() | io.Fail():
                     self.ended += 1
                 case _:
                     pass
@@ -738,10 +743,10 @@
         """Messages come in at TRAFFIC a second, each at any of the relays."""
         while self.queue and self.queue[0][0] <= until:
             now, _, relay, event = heapq.heappop(self.queue)
-            if isinstance(event, io.Arrived) and not event.call:
+            if isinstance(event, io.MessageArrived) and not event.message_id:
                 self._put(now + round(self.draw.expovariate(TRAFFIC) * SECOND), 0, event)
                 self.count += 1
-                event = io.Arrived(f"m{self.count}", 0, 0, 1, f"k{self.count}", 24 * SECOND)
+                event = io.MessageArrived(f"m{self.count}", 0, 0, 1, f"k{self.count}", 24 * SECOND)
                 relay = self.draw.randrange(len(self.pacers))
             self._turn(now, relay, event)
 
--- a/garnetrelay/catalog.py
+++ b/garnetrelay/catalog.py
@@ -35,9 +35,9 @@
     started: int  # Unix milliseconds; 0: long ago
     address: Address
 
-    def entry(self, availability: io.Availability | None = None) -> io.HostEntry:
+    def entry(self, availability: io.Availability | None = None) -> io.EndpointEntry:
         """In the Pacer's terms."""
-        return io.HostEntry(
+        return io.EndpointEntry(
             self.name, self.zone, self.kind, self.dest, availability or self.availability, self.rate
         )
 
--- a/garnetrelay/config.py
+++ b/garnetrelay/config.py
@@ -123,7 +123,7 @@
     limits, facts = raw.get("limits", {}), raw["settings"]
     settings = parse_settings(facts)
     # The protocol carries one message in a call, whatever the simulator's kinds allow.
-    kinds = tuple(dataclasses.replace(kind, per_call=1) for kind in settings.kinds)
+    kinds = tuple(dataclasses.replace(kind, max_batch_size=1) for kind in settings.kinds)
     mgmt = environment.get("RELAY_MGMT") or raw.get("mgmt")
     inherited = environment.get("RELAY_INHERITED_FD")
     disk_bytes = int(float(limits.get("disk_mb", 64)) * 1_000_000)
--- a/garnetrelay/connection_pool.py
+++ b/garnetrelay/connection_pool.py
@@ -61,7 +61,7 @@
     wait: int = 0
     no_slot: bool = False
     finished: bool = False
-    report: io.Report | None = None
+    report: io.LoadReport | None = None
     stale: bool = False  # a reset that tells of an idle connection, not of its host
 
 
@@ -126,7 +126,7 @@
         self.end(outcome)
 
 
-def parse_report(text: str) -> io.Report | None:
+def parse_report(text: str) -> io.LoadReport | None:
     """The report in a load header or a probe's body; None where there is none or it can't be read."""
     values: dict[str, float] = {}
     for part in text.strip().split(","):
@@ -140,7 +140,7 @@
         return None
     if limit is not None and 0 < limit < LEAST_LIMIT:
         return None
-    return io.Report(left=left or 0.0, limit=limit or 0.0)
+    return io.LoadReport(remaining=left or 0.0, limit=limit or 0.0)
 
 
 def read_outcome(status: int, headers: list[tuple[bytes, bytes]]) -> Outcome:
@@ -353,7 +353,9 @@
     def __init__(self, settings: io.Settings, most_open: int) -> None:
         self.connect_time = settings.limits.connect_timeout / SECOND or 1.0
         # A host's table is shared by all relays: together they leave idle what one alone might.
-        self.idle_time = min(IDLE_SHARE, 1 / settings.relays) * settings.limits.conn_idle / SECOND
+        self.idle_time = (
+            min(IDLE_SHARE, 1 / settings.relays) * settings.limits.connection_idle_timeout / SECOND
+        )
         self.most_open = most_open
         self.buffer = new_buffer()
         self.addresses: dict[str, Address] = {}
--- a/garnetrelay/health_store.py
+++ b/garnetrelay/health_store.py
@@ -26,7 +26,13 @@
 
 FORMAT = 1
 COUNT = len(fields(HealthRecord))
-TIMES = ("bad_from", "bad_at", "failed_at", "ramp_from", "warm_at")
+TIMES = (
+    "unhealthy_since",
+    "last_bad_outcome_at",
+    "last_failure_at",
+    "slow_start_began_at",
+    "slow_start_ends_at",
+)
 FURTHEST_AHEAD = 60_000_000_000  # nanoseconds: a destination that is shut says when it opens
 MOST_RATE = 1e9  # calls a second
 
@@ -68,18 +74,20 @@
             except ValueError:
                 damaged += 1
                 continue
-            records.pop((record.dest, record.host), None)
-            records[record.dest, record.host] = record
+            records.pop((record.destination, record.endpoint), None)
+            records[record.destination, record.endpoint] = record
         if damaged:
             log.warning("health on the disk: %d of %d records can't be read", damaged, len(lines) - 1)
-        left = [record for record in records.values() if record.bad_from is not None]
-        self._take_in({(record.dest, record.host): _packed(record) for record in left})
+        left = [record for record in records.values() if record.unhealthy_since is not None]
+        self._take_in({(record.destination, record.endpoint): _packed(record) for record in left})
         return left
 
     def keep(self, records: Iterable[HealthRecord]) -> None:
         """Let these outlast the process."""
         for record in records:
-            self.unwritten[record.dest, record.host] = b"" if record.bad_from is None else _packed(record)
+            self.unwritten[record.destination, record.endpoint] = (
+                b"" if record.unhealthy_since is None else _packed(record)
+            )
         self.flush()
 
     def flush(self) -> None:
@@ -175,23 +183,30 @@
     record = HealthRecord(*values)
     times = [getattr(record, name) for name in TIMES]
     whole = all(type(time) is int or time is None for time in times)
-    rates = (record.bad, record.served_before)
+    rates = (record.failure_rate, record.rate_before_outage)
     if (
         not whole
-        or type(record.dest) is not int
-        or not isinstance(record.host, str)
-        or type(record.out) is not bool
-        or type(record.unproved) is not bool
+        or type(record.destination) is not int
+        or not isinstance(record.endpoint, str)
+        or type(record.in_outage) is not bool
+        or type(record.unconfirmed) is not bool
         or not all(isinstance(rate, int | float) and math.isfinite(rate) for rate in rates)
-        or not 0 <= record.bad <= 1
-        or not 0 <= record.served_before <= MOST_RATE
-        or None in (record.bad_at, record.failed_at, record.warm_at)
+        or not 0 <= record.failure_rate <= 1
+        or not 0 <= record.rate_before_outage <= MOST_RATE
+        or None in (record.last_bad_outcome_at, record.last_failure_at, record.slow_start_ends_at)
     ):
         raise ValueError("values of another kind")
     if (
         not same_boot
-        or record.bad_at > now + FURTHEST_AHEAD
-        or (record.ramp_from or 0) > now + FURTHEST_AHEAD
+        or record.last_bad_outcome_at > now + FURTHEST_AHEAD
+        or (record.slow_start_began_at or 0) > now + FURTHEST_AHEAD
     ):
-        return replace(record, bad_from=now, bad_at=now, failed_at=now, ramp_from=None, warm_at=0)
+        return replace(
+            record,
+            unhealthy_since=now,
+            last_bad_outcome_at=now,
+            last_failure_at=now,
+            slow_start_began_at=None,
+            slow_start_ends_at=0,
+        )
     return record
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -142,7 +142,7 @@
         self.notices.start()
         self._read_known()
         self._turn()
-        if self.settings.discovery is io.Discovery.AUTOMATIC:
+        if self.settings.discovery is io.DiscoveryMode.AUTOMATIC:
             self.discovery.subscribe()  # the Pacer asks only where changes do not come by themselves
         self.report = asyncio.get_running_loop().call_later(REPORT_EVERY, self._report)
         self._observe()
@@ -169,7 +169,7 @@
         if self._has_successor():
             self._pass_on(now)
         else:
-            self._post(io.Stopping(now + STOP_AFTER, now + BACK_AFTER))
+            self._post(io.ShutdownStarted(now + STOP_AFTER, now + BACK_AFTER))
             loop.call_later(LISTEN_ON, self.server.stop)
         self._wind_up()
 
@@ -250,7 +250,7 @@
             "load: held=%d out=%d/%d untold=%d clients=%d silent=%d connections=%d idle=%d %s",
             len(self.held),
             len(pacer.calls),
-            self.settings.slots,
+            self.settings.max_calls,
             len(self.notices.queue),
             len(self.server.connections),
             self.server.silent,
@@ -273,7 +273,7 @@
         self.metrics.cluster_unhealthy = avoided + drain
         counts = self.pacer.health_counts()
         self.metrics.destinations_suspect = counts[io.HealthState.SUSPECT]
-        self.metrics.destinations_out = counts[io.HealthState.OUT]
+        self.metrics.destinations_out = counts[io.HealthState.OUTAGE]
         self.metrics.destinations_recovering = counts[io.HealthState.RECOVERING]
         self.metrics.journal_failing = int(self.journal.failing)
         if not self.passed_on:
@@ -299,7 +299,7 @@
             return
         if len(self.catalog) > LONG:
             give_back()
-        self.inbox.append(io.Roster(io.ListScope.CACHED, ()))
+        self.inbox.append(io.EndpointUpdate(io.UpdateScope.CACHED, ()))
 
     def _recover(self, entries: list[Entry]) -> None:
         """Messages and notices that were another process's, or an earlier life's, are ours now."""
@@ -325,7 +325,7 @@
                 sum(not entry.attempts and entry.ended is None for entry in entries),
             )
 
-    def _recovered(self, entry: Entry, now_ms: int) -> io.Recovered:
+    def _recovered(self, entry: Entry, now_ms: int) -> io.MessageRecovered:
         if entry.ran_at is None and entry.trying_at is not None:  # no outcome came: it may have run
             entry.ran_at, entry.ran_zone = entry.trying_at, entry.trying_zone
         ran_ago = None if entry.ran_at is None else max(0, now_ms - entry.ran_at) * MS
@@ -334,15 +334,15 @@
         zones = self.config.zone_names
         klass = self.class_numbers[entry.klass]
         most = self.settings.classes[klass].deadline  # what another boot's clock says may lie beyond
-        return io.Recovered(
-            call=entry.ref,
-            klass=klass,
-            dest=entry.dest,
+        return io.MessageRecovered(
+            message_id=entry.ref,
+            class_index=klass,
+            destination=entry.dest,
             key=entry.key,
-            patience=min((entry.deadline - now_ms) * MS, most),
+            time_left=min((entry.deadline - now_ms) * MS, most),
             attempts=entry.attempts,
-            ran_ago=ran_ago,
-            ran_zone=zones.index(entry.ran_zone) if entry.ran_zone in zones else -1,
+            possible_run_age=ran_ago,
+            possible_run_zone=zones.index(entry.ran_zone) if entry.ran_zone in zones else -1,
         )
 
     async def _serve(self, inherited: socket.socket | None) -> None:
@@ -367,16 +367,16 @@
         now = time.monotonic_ns()
         records = self.health_store.load(now)
         for record in records:
-            self._use(record.dest)
+            self._use(record.destination)
         if not records:
             return
         self._post(io.HealthRestored(tuple(records)))
         log.info(
             "health kept from before: %d destinations in trouble, %d of them out, seen %.1f to %.1f s ago",
             len(records),
-            sum(record.out for record in records),
-            min(now - record.bad_at for record in records) / SECOND,
-            max(now - record.bad_at for record in records) / SECOND,
+            sum(record.in_outage for record in records),
+            min(now - record.last_bad_outcome_at for record in records) / SECOND,
+            max(now - record.last_bad_outcome_at for record in records) / SECOND,
         )
 
     # ---- upgrades
@@ -407,13 +407,13 @@
                     for host in line["learned"]["hosts"]:
                         if (dest := self.catalog.destination(host)) is not None:
                             self._use(dest)
-                    self._post(io.Learned(line["learned"]))
+                    self._post(io.PredecessorState(line["learned"]))
                 elif "told" in line:
-                    self._post(io.Told("", line["told"], line["wait"]))
+                    self._post(io.RetryAfter("", line["told"], line["wait"]))
                 else:
                     self.elsewhere -= 1
                     self._post(
-                        io.Overheard(
+                        io.PredecessorCallEnded(
                             line["host"],
                             io.Status(line["status"]),
                             line["sent_at"],
@@ -427,7 +427,7 @@
         if not self.journal.foreign:
             self.elsewhere = 0
         if self.pacer.elsewhere != self.elsewhere:
-            self._post(io.Elsewhere(max(0, self.elsewhere)))
+            self._post(io.PredecessorCalls(max(0, self.elsewhere)))
 
     def _has_successor(self) -> bool:
         """Whether another process stands ready: it holds a journal, and waits for us to let go."""
@@ -440,7 +440,7 @@
         """Let another process send and serve. What is out here ends here; the rest goes over now."""
         assert self.handover is not None
         self.server.stop()
-        self._post(io.Stopping(now, now))
+        self._post(io.ShutdownStarted(now, now))
         self._turn()
         self.passed_on = True
         self._hand_over()
@@ -461,7 +461,7 @@
         for ref in moved:
             del self.held[ref]
             self.metrics.current -= 1
-            self._post(io.Withdrawn(ref))
+            self._post(io.MessageWithdrawn(ref))
         log.info("handed over %d messages", len(moved))
 
     # ---- events in
@@ -478,7 +478,7 @@
             log.info("client request for an unknown destination %d", request.dest)
             return
         klass = self.settings.classes[self.class_numbers[request.klass]]
-        if klass.repeat is io.Repeat.KEYED and request.key is None:
+        if klass.idempotency is io.Idempotency.KEYED and request.key is None:
             # Without its key no host could drop a repeat.
             raise Rejected("'k' is missing")
         if request.ref in self.held:
@@ -494,32 +494,32 @@
         self.pending[request.ref] = PendingRequest(request, reply, deadline)
         self._use(request.dest)
         self._post(
-            io.Arrived(
-                call=request.ref,
+            io.MessageArrived(
+                message_id=request.ref,
                 tenant=0,
-                klass=self.class_numbers[request.klass],
-                dest=request.dest,
+                class_index=self.class_numbers[request.klass],
+                destination=request.dest,
                 key=request.key,
-                patience=request.patience_ms * MS,
+                time_left=request.patience_ms * MS,
                 storable=self.journal.has_room(weight(request.ref, request.key, request.body)),
             )
         )
 
     def on_news(self, news: News | None) -> None:
         if news is None:
-            if self.settings.discovery is io.Discovery.AUTOMATIC:  # nobody else opens it again
+            if self.settings.discovery is io.DiscoveryMode.AUTOMATIC:  # nobody else opens it again
                 self.rewatch = asyncio.get_running_loop().call_later(WATCH_AGAIN, self.discovery.subscribe)
-            self._post(io.Roster(io.ListScope.FAILED, ()))
+            self._post(io.EndpointUpdate(io.UpdateScope.FAILED, ()))
             return
         touched = self.catalog.commit(news.staged, news.index, news.whole)
         if news.whole and len(self.catalog) > LONG:
             give_back()
         if self.kept is not None and not self.passed_on:
             self.kept.keep(self.catalog, touched, news.whole)
-        scope = io.ListScope.WHOLE if news.whole else io.ListScope.CHANGES
-        self._post(io.Roster(scope, self._renew(touched, news.whole)))
+        scope = io.UpdateScope.SNAPSHOT if news.whole else io.UpdateScope.DELTA
+        self._post(io.EndpointUpdate(scope, self._renew(touched, news.whole)))
 
-    def _renew(self, touched: set[int], whole: bool) -> tuple[io.HostEntry, ...]:
+    def _renew(self, touched: set[int], whole: bool) -> tuple[io.EndpointEntry, ...]:
         """What the Pacer has to hear of the destinations in use: all that is left of them, or what has
         changed. Connections to hosts that drain or went are closed."""
         gone: dict[str, Endpoint] = {}
@@ -550,7 +550,7 @@
         endpoints = self.used[dest] = self.catalog.find(dest)
         for endpoint in endpoints:
             self._know(endpoint)
-        self._post(io.Introduced(dest, tuple(endpoint.entry() for endpoint in endpoints)))
+        self._post(io.DestinationLoaded(dest, tuple(endpoint.entry() for endpoint in endpoints)))
 
     def _release(self, dest: int) -> None:
         for endpoint in self.used.pop(dest, ()):
@@ -586,19 +586,19 @@
         self.turn_due = False
         events, self.inbox = self.inbox, []
         actions = self.pacer.handle(time.monotonic_ns(), events)
-        self._admit({a.call: a for a in actions if isinstance(a, io.Refuse | io.Fail)})
+        self._admit({a.message_id: a for a in actions if isinstance(a, io.Reject | io.Fail)})
         for action in actions:
             self._carry_out(action)
         if self.journal.failing and self.journal_retry is None:
             self._retry_journal_later()
 
-    def _admit(self, ends: dict[str, io.Refuse | io.Fail]) -> None:
+    def _admit(self, ends: dict[str, io.Reject | io.Fail]) -> None:
         """Answer those who wait: what the Pacer did not end in this turn is accepted, once on record."""
         pending, self.pending = self.pending, {}
         for ref, waiting in pending.items():
             request, reply = waiting.request, waiting.reply
             match ends.get(ref):
-                case io.Refuse(_, hold_off):
+                case io.Reject(_, hold_off):
                     reply.busy(hold_off // MS)
                     self.metrics.ended(End.DEFERRED, request.klass)
                     continue
@@ -610,7 +610,7 @@
             if not reply.wanted or not self.journal.taken(entry):
                 reply.busy(self.pacer.store_again() // MS)
                 self.metrics.ended(End.DEFERRED, request.klass)
-                self._post(io.Withdrawn(ref))
+                self._post(io.MessageWithdrawn(ref))
                 continue
             self._hold(InFlightMessage(ref, request.klass, request.key, request.body))
             log.debug("message %s key %s is taken on", ref, request.key)
@@ -620,7 +620,7 @@
         match action:
             case io.Send():
                 self._send(action)
-            case io.Refuse(ref, hold_off):
+            case io.Reject(ref, hold_off):
                 self._end(ref, "bounced", hold_off // MS)
             case io.Fail(ref):
                 self._end(ref, "dead", 0)
@@ -630,14 +630,14 @@
                     message.exchange.give_up(io.Status.CANCELLED)
             case io.Probe():
                 self._probe(action)
-            case io.Close(host):
+            case io.CloseIdleConnections(host):
                 self.hosts.close_idle(host)
-            case io.Released(dest):
+            case io.EvictDestination(dest):
                 self._release(dest)
-            case io.KeepHealth(records):
+            case io.PersistHealth(records):
                 if not self.passed_on:  # the process that sends now keeps what it sees
                     self.health_store.keep(records)
-            case io.Wake(after, token):
+            case io.SetTimer(after, token):
                 self._set_alarm(after, token)
             case io.Subscribe():
                 self.discovery.subscribe()
@@ -648,21 +648,27 @@
         if self.alarm is not None:
             self.alarm.cancel()  # only the newest counts
         at = (self.pacer.now + after) / SECOND
-        self.alarm = asyncio.get_running_loop().call_at(at, self._post, io.Alarm(token))
+        self.alarm = asyncio.get_running_loop().call_at(at, self._post, io.TimerExpired(token))
 
     # ---- attempts
 
     def _send(self, send: io.Send) -> None:
-        message = self.held.get(send.call)
+        message = self.held.get(send.message_id)
         if message is None:  # it was not taken on after all: the Pacer hears of that too
-            self._post(io.Verdict(send.call, 0, send.host, io.Status.ABANDONED, 0, True, 0, False, None))
+            self._post(
+                io.AttemptEnded(
+                    send.message_id, 0, send.endpoint, io.Status.ABANDONED, 0, True, 0, False, None
+                )
+            )
             return
-        started, attempt, zone = self.pacer.now, message.attempts, self.zones.get(send.host, -1)
+        started, attempt, zone = self.pacer.now, message.attempts, self.zones.get(send.endpoint, -1)
         zones = self.config.zone_names
         message.attempts += 1
-        if not self.journal.can_record(send.call):
+        if not self.journal.can_record(send.message_id):
             self._post(
-                io.Verdict(send.call, attempt, send.host, io.Status.ABANDONED, 0, False, 0, False, None)
+                io.AttemptEnded(
+                    send.message_id, attempt, send.endpoint, io.Status.ABANDONED, 0, False, 0, False, None
+                )
             )
             return
         written = False
@@ -670,23 +676,23 @@
         def prepare() -> HttpRequest | None:
             nonlocal written
             now = time.monotonic_ns()
-            if now >= send.stop_at or not self.pacer.clear_to_send(now, send.call, send.host):
+            if now >= send.deadline or not self.pacer.clear_to_send(now, send.message_id, send.endpoint):
                 return None
             name = zones[zone] if 0 <= zone < len(zones) else ""
-            written = self.journal.trying(send.call, name, now // MS)
-            log.debug("attempt %s %d to %s goes out", send.call, attempt, send.host)
-            return call_request(message.ref, message.key, message.body, send.stop_at) if written else None
+            written = self.journal.trying(send.message_id, name, now // MS)
+            log.debug("attempt %s %d to %s goes out", send.message_id, attempt, send.endpoint)
+            return call_request(message.ref, message.key, message.body, send.deadline) if written else None
 
         def done(outcome: Outcome) -> None:
             message.exchange = None
-            log.debug("attempt %s %d at %s: %s", send.call, attempt, send.host, outcome)
+            log.debug("attempt %s %d at %s: %s", send.message_id, attempt, send.endpoint, outcome)
             self.outcomes["stale" if outcome.stale else outcome.status.name.lower()] += 1
             if written and not outcome.finished:  # a kill between two records would leave one that never ran
-                self.journal.outcome(send.call, outcome.status in MAY_HAVE_RUN)
+                self.journal.outcome(send.message_id, outcome.status in MAY_HAVE_RUN)
             if self.passed_on and self.handover is not None:
                 self.handover.tell(
                     {
-                        "host": send.host,
+                        "host": send.endpoint,
                         "status": outcome.status,
                         "sent_at": started,
                         "wait": outcome.wait,
@@ -701,10 +707,10 @@
             if message.over:
                 self.held.pop(message.ref, None)
             self._post(
-                io.Verdict(
-                    send.call,
+                io.AttemptEnded(
+                    send.message_id,
                     attempt,
-                    send.host,
+                    send.endpoint,
                     outcome.status,
                     time.monotonic_ns() - started,
                     outcome.finished,
@@ -716,25 +722,27 @@
             )
 
         def told(wait: int) -> None:
-            self._post(io.Told(send.call, send.host, wait))
+            self._post(io.RetryAfter(send.message_id, send.endpoint, wait))
             if self.passed_on and self.handover is not None:
-                self.handover.tell({"told": send.host, "wait": wait})
+                self.handover.tell({"told": send.endpoint, "wait": wait})
 
-        message.exchange = Attempt(send.host, send.stop_at, prepare, done, self.metrics.sent, told)
+        message.exchange = Attempt(send.endpoint, send.deadline, prepare, done, self.metrics.sent, told)
         self.hosts.begin(message.exchange)
 
     def _probe(self, probe: io.Probe) -> None:
         started = self.pacer.now
 
         def prepare() -> HttpRequest | None:
-            if not self.pacer.clear_to_send(time.monotonic_ns(), None, probe.host):
+            if not self.pacer.clear_to_send(time.monotonic_ns(), None, probe.endpoint):
                 return None
             return probe_request(self.config.load_reports)
 
         def done(outcome: Outcome) -> None:
-            self._post(io.Probed(probe.host, outcome.status, time.monotonic_ns() - started, outcome.report))
+            self._post(
+                io.ProbeEnded(probe.endpoint, outcome.status, time.monotonic_ns() - started, outcome.report)
+            )
 
-        self.hosts.begin(Attempt(probe.host, probe.stop_at, prepare, done))
+        self.hosts.begin(Attempt(probe.endpoint, probe.deadline, prepare, done))
 
     # ---- ends
 
--- a/starlingwick/control.py
+++ b/starlingwick/control.py
@@ -14,53 +14,62 @@
 from bisect import bisect_right
 from collections import Counter, deque
 from collections.abc import Iterable
-from dataclasses import fields
 from itertools import islice
 from typing import Any
 
 from starlingwick.interface import (
     Action,
-    Alarm,
-    Arrived,
+    TimerExpired,
+    MessageArrived,
     Availability,
-    Close,
-    Decay,
-    Discovery,
-    Elsewhere,
+    CloseIdleConnections,
+    ValueDecay,
+    DiscoveryMode,
+    PredecessorCalls,
     Event,
     Fail,
     HealthRestored,
     HealthState,
-    HostEntry,
-    Introduced,
-    KeepHealth,
-    Learned,
-    ListScope,
+    EndpointEntry,
+    DestinationLoaded,
+    PersistHealth,
+    PredecessorState,
+    UpdateScope,
     Log,
-    Overheard,
+    PredecessorCallEnded,
     Probe,
-    Probed,
-    Recovered,
-    Refuse,
-    Released,
-    Repeat,
-    Report,
-    Roster,
-    Scope,
+    ProbeEnded,
+    MessageRecovered,
+    Reject,
+    EvictDestination,
+    Idempotency,
+    LoadReport,
+    EndpointUpdate,
+    KeyScope,
     Send,
     Settings,
     Status,
-    Stopping,
+    ShutdownStarted,
     Subscribe,
-    Told,
-    Verdict,
-    Wake,
-    Withdrawn,
+    RetryAfter,
+    AttemptEnded,
+    SetTimer,
+    MessageWithdrawn,
 )
 from starlingwick.health_record import record_of, restore, state_of
 from starlingwick.listed_rate import call_interval, longest_limit_wait
 from starlingwick.slow_start import SlowStart
-from starlingwick.state import NEVER, SECOND, Call, Destination, Host, Message
+from starlingwick.state import (
+    HANDOVER_ENDPOINT_ATTRIBUTES,
+    HANDOVER_NAMES,
+    HANDOVER_TIME_LISTS,
+    NEVER,
+    SECOND,
+    Call,
+    Destination,
+    Endpoint,
+    Message,
+)
 
 # The design's own figures.
 CUT = 0.75  # what a cut leaves of the ceiling
@@ -91,15 +100,12 @@
 LOOKS = 4  # at what may be let go, each turn
 
 CHANGED_TO = {  # the first word of the line in the log
-    HealthState.WELL: "well",
+    HealthState.HEALTHY: "well",
     HealthState.SUSPECT: "suspect",
-    HealthState.OUT: "outage",
+    HealthState.OUTAGE: "outage",
     HealthState.RECOVERING: "back",
 }
 MAY_HAVE_RUN = (Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
-LEARNED_SPANS = ("refusals", "sent", "arrived", "served", "failures")
-NOT_LEARNED = ("number", "per_call", "hosts", "calls", *LEARNED_SPANS)  # in the list, or out
-LEARNED_OF_HOSTS = ("last_sent", "gap", "last_ok_sent", "bad", "retry_at")
 FAILED = (Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
 MAY_STILL_RUN = (Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 
@@ -123,12 +129,12 @@
         self.turn_rest: dict[str, int] = {}
         self.expiry: list[tuple[int, str]] = []
         self.routes: dict[int, list[Destination]] = {}  # by destination number
-        self.hosts: dict[str, tuple[Destination, Host]] = {}
+        self.hosts: dict[str, tuple[Destination, Endpoint]] = {}
         self.introduced: dict[int, None] = {}  # destinations known only while used, longest unused first
-        self.freed: list[Host] = []  # hosts whose call ended this turn
+        self.freed: list[Endpoint] = []  # hosts whose call ended this turn
         self.calls: dict[Call, None] = {}  # out, oldest first: each holds a slot
         self.elsewhere = 0  # calls out in another process of this relay: they hold slots too
-        self.tenant_due = [0] * len(settings.tenant_rates)  # when the next message is within the share
+        self.tenant_due = [0] * len(settings.tenant_quotas)  # when the next message is within the share
         self.changed: dict[Destination, None] = {}  # whose health has changed in this turn
         self.ask_at = NEVER
         self.asks_failed = 0  # in a row
@@ -147,40 +153,40 @@
         self.wake_at = NEVER
         if self.started is None:
             self.started = now
-            if self.settings.discovery is Discovery.SUBSCRIBE:
+            if self.settings.discovery is DiscoveryMode.SUBSCRIBE:
                 self.ask_at = now
         for event in events:
             match event:
-                case Arrived():
+                case MessageArrived():
                     self.on_arrived(event)
-                case Verdict():
+                case AttemptEnded():
                     self.on_verdict(event)
-                case Recovered():
+                case MessageRecovered():
                     self.on_recovered(event)
-                case Stopping():
-                    self.stopping_at, self.back_at = event.at, event.back_at
-                case Learned():
+                case ShutdownStarted():
+                    self.stopping_at, self.back_at = event.at, event.resumes_at
+                case PredecessorState():
                     self.on_learned(event.facts)
                 case HealthRestored():
                     self.on_health_restored(event)
-                case Overheard():
+                case PredecessorCallEnded():
                     self.on_overheard(event)
-                case Told():
+                case RetryAfter():
                     self.on_told(event)
-                case Elsewhere():
+                case PredecessorCalls():
                     self.elsewhere = event.calls
-                case Withdrawn():
-                    if event.call in self.messages:
-                        self.finish(self.messages[event.call])
-                case Roster():
+                case MessageWithdrawn():
+                    if event.message_id in self.messages:
+                        self.finish(self.messages[event.message_id])
+                case EndpointUpdate():
                     self.on_roster(event)
-                case Introduced():
-                    self.introduced[event.dest] = None
+                case DestinationLoaded():
+                    self.introduced[event.destination] = None
                     for entry in event.entries:
                         self.on_entry(entry)
-                case Probed():
+                case ProbeEnded():
                     self.on_probed(event)
-                case Alarm():  # a coarser clock may bring it a moment early: it is spent all the same
+                case TimerExpired():  # a coarser clock may bring it a moment early: it is spent all the same
                     if event.token == self.alarm:
                         self.alarm_at = NEVER
         if self.alarm_at <= now:
@@ -196,7 +202,7 @@
         if self.wake_at < self.alarm_at:
             self.alarm_at = max(self.wake_at, now + 1)
             self.alarm += 1
-            self.actions.append(Wake(self.alarm_at - now, self.alarm))
+            self.actions.append(SetTimer(self.alarm_at - now, self.alarm))
         return self.actions
 
     # ---- the list of hosts
@@ -217,9 +223,9 @@
             return ASK_SOON
         return min(ASK_LATEST, max(SECOND, ASK_APART * self.settings.relays << min(self.asks_failed, 8)))
 
-    def on_roster(self, event: Roster) -> None:
-        if event.scope is ListScope.FAILED:
-            if self.settings.discovery is Discovery.SUBSCRIBE:
+    def on_roster(self, event: EndpointUpdate) -> None:
+        if event.scope is UpdateScope.FAILED:
+            if self.settings.discovery is DiscoveryMode.SUBSCRIBE:
                 least = SECOND // 2 if self.asks_failed else 0
                 self.ask_at = self.now + least + round(self.random.random() * self.ask_span())
                 if not self.subscribed:  # discovery may be back since the call began: its wait counts too
@@ -227,43 +233,46 @@
                 self.asks_failed += 1
             self.subscribed = False
             return
-        if event.scope is not ListScope.CACHED:
+        if event.scope is not UpdateScope.CACHED:
             self.subscribed = True
             self.asks_failed = 0
         for entry in event.entries:
             self.on_entry(entry)
-        if event.scope is not ListScope.CHANGES:
-            named = {entry.host for entry in event.entries}
+        if event.scope is not UpdateScope.DELTA:
+            named = {entry.endpoint for entry in event.entries}
             for name in [name for name in self.hosts if name not in named]:
                 self.forget(name)
 
-    def on_entry(self, entry: HostEntry) -> None:
+    def on_entry(self, entry: EndpointEntry) -> None:
         if entry.availability is Availability.DELETED:
-            self.forget(entry.host)
+            self.forget(entry.endpoint)
             return
-        known = self.hosts.get(entry.host)
-        if known is not None and (known[0].number, known[1].kind) != (entry.dest, entry.kind):
-            self.forget(entry.host)  # another destination's from now on: its messages must not go there
-        if entry.host not in self.hosts:
+        known = self.hosts.get(entry.endpoint)
+        if known is not None and (known[0].number, known[1].kind) != (entry.destination, entry.kind):
+            self.forget(entry.endpoint)  # another destination's from now on: its messages must not go there
+        if entry.endpoint not in self.hosts:
             kind = self.settings.kinds[entry.kind]
-            routes = self.routes.setdefault(entry.dest, [])
-            if kind.apart or not routes:
-                routes.append(Destination(entry.dest, kind.per_call))
-            self.hosts[entry.host] = (routes[-1], Host(entry.host, entry.zone, entry.kind, entry.rate))
-            routes[-1].hosts.append(self.hosts[entry.host][1])
-        dest, host = self.hosts[entry.host]
-        host.usable = entry.availability is Availability.RUNNING
-        if self.settings.listed_rates and (not dest.listed or host.rate != entry.rate):
+            routes = self.routes.setdefault(entry.destination, [])
+            if kind.separate_routes or not routes:
+                routes.append(Destination(entry.destination, kind.max_batch_size))
+            self.hosts[entry.endpoint] = (
+                routes[-1],
+                Endpoint(entry.endpoint, entry.zone, entry.kind, entry.rate),
+            )
+            routes[-1].endpoints.append(self.hosts[entry.endpoint][1])
+        dest, host = self.hosts[entry.endpoint]
+        host.available = entry.availability is Availability.RUNNING
+        if self.settings.uses_listed_rates and (not dest.listed_rate or host.listed_rate != entry.rate):
             self.slow_start.list_rate(dest, entry.rate)
-        host.zone, host.rate = entry.zone, entry.rate
+        host.zone, host.listed_rate = entry.zone, entry.rate
 
     def forget(self, name: str) -> None:
         """A host that is gone; its calls run on. A route goes with its last host: memory stays bounded."""
         if name in self.hosts:
             dest, host = self.hosts.pop(name)
-            host.usable = False  # for a call on its way there: see clear_to_send
-            dest.hosts.remove(host)
-            if not dest.hosts and len(self.routes[dest.number]) > 1:
+            host.available = False  # for a call on its way there: see clear_to_send
+            dest.endpoints.remove(host)
+            if not dest.endpoints and len(self.routes[dest.number]) > 1:
                 self.routes[dest.number].remove(dest)
 
     def use(self, number: int) -> None:
@@ -279,25 +288,26 @@
             if self.may_forget(number):
                 del self.introduced[number]
                 for dest in self.routes.pop(number, ()):
-                    for host in dest.hosts:
+                    for host in dest.endpoints:
                         del self.hosts[host.name]
-                self.actions.append(Released(number))
+                self.actions.append(EvictDestination(number))
             else:
                 self.use(number)
 
     def may_forget(self, number: int) -> bool:
         """Whether nothing waits for it or is out there, and nothing known of it binds: told waits and cold
         partners do (rules 4 and 6), and so do our own pace and a doubt of its health."""
-        settled = self.now - max(SENT_SPAN, self.settings.rules.ramp_time)
+        settled = self.now - max(SENT_SPAN, self.settings.rules.slow_start_duration)
         return number not in self.waiting and not any(
             dest.calls
-            or dest.bad > SUSPECT
-            or dest.ceiling is not None
+            or dest.failure_rate > SUSPECT
+            or dest.rate_limit is not None
             or self.slow_start.is_on(dest, self.now)
-            or max(dest.wait_until, dest.rest_until, dest.next_call, dest.next_at) > self.now
-            or dest.refused_from is not None
-            and dest.pause_at > settled
-            or any(host.probing for host in dest.hosts)
+            or max(dest.retry_after_until, dest.backoff_until, dest.next_call_at, dest.next_trial_at)
+            > self.now
+            or dest.throttled_since is not None
+            and dest.backoff_changed_at > settled
+            or any(host.probing for host in dest.endpoints)
             for dest in self.routes.get(number, ())
         )
 
@@ -307,135 +317,138 @@
         """Whether a tenant's message is within its share; two seconds' worth, or two, may come at once."""
         if tenant >= len(self.tenant_due):
             return True
-        gap = round(SECOND * self.settings.relays / max(self.settings.tenant_rates[tenant], 1e-9))
+        gap = round(SECOND * self.settings.relays / max(self.settings.tenant_quotas[tenant], 1e-9))
         due = max(self.tenant_due[tenant], self.now - max(2 * SECOND, 2 * gap))
         self.tenant_due[tenant] = due + gap if due <= self.now else due
         return due <= self.now
 
-    def on_arrived(self, event: Arrived) -> None:
+    def on_arrived(self, event: MessageArrived) -> None:
         if not event.storable:  # what cannot be kept is not taken on
-            self.actions.append(Refuse(event.call, self.store_again()))
+            self.actions.append(Reject(event.message_id, self.store_again()))
             return
-        klass = self.settings.classes[event.klass]
-        worth = klass.worth
+        klass = self.settings.classes[event.class_index]
+        worth = klass.value
         if not self.within_share(event.tenant):
-            worth *= self.settings.over_share_worth
+            worth *= self.settings.over_quota_value
         message = Message(
-            event.call,
+            event.message_id,
             klass,
-            event.dest,
-            event.key if klass.in_turn else None,
+            event.destination,
+            event.key if klass.ordered else None,
             worth,
             self.now,
-            self.now + event.patience,
+            self.now + event.time_left,
         )
-        self.messages[event.call] = message
-        self.use(event.dest)
-        self.waiting.setdefault(event.dest, {})[event.call] = message
+        self.messages[event.message_id] = message
+        self.use(event.destination)
+        self.waiting.setdefault(event.destination, {})[event.message_id] = message
         self.held += 1
-        heapq.heappush(self.expiry, (message.deadline - 2 * self.settings.tick, event.call))
+        heapq.heappush(self.expiry, (message.deadline - 2 * self.settings.tick, event.message_id))
         if message.key is not None:
             self.turns.setdefault(message.key, deque()).append(message)
-        for route in self.routes.get(event.dest, ()):
-            self.mark(route.arrived, SENT_SPAN)
+        for route in self.routes.get(event.destination, ()):
+            self.mark(route.arrival_times, SENT_SPAN)
 
     def store_again(self) -> int:
         """After how long a client may come again whose message could not be kept; 0 where none is told."""
         limits = self.settings.limits
         return min(STORE_AGAIN, limits.max_retry_after) if limits.retry_after else 0
 
-    def on_recovered(self, r: Recovered) -> None:
+    def on_recovered(self, r: MessageRecovered) -> None:
         """Take up again what an earlier life held: its attempts count on, and so does what may have run."""
-        klass = self.settings.classes[r.klass]
+        klass = self.settings.classes[r.class_index]
         m = Message(
-            r.call,
+            r.message_id,
             klass,
-            r.dest,
-            r.key if klass.in_turn else None,
-            klass.worth,
+            r.destination,
+            r.key if klass.ordered else None,
+            klass.value,
             self.now,
-            self.now + r.patience,
+            self.now + r.time_left,
             attempts=r.attempts,
         )
-        if r.ran_ago is not None:
-            m.ran_at, m.ran_zone = self.now - r.ran_ago, r.ran_zone
-        if not r.attempts and m.ran_at is None:
-            m.owed = True
-            self.owed[m.name] = m
-            self.owed_at[m.dest] += 1
-        self.messages[r.call] = m
-        self.use(r.dest)
+        if r.possible_run_age is not None:
+            m.possible_run_at, m.possible_run_zone = self.now - r.possible_run_age, r.possible_run_zone
+        if not r.attempts and m.possible_run_at is None:
+            m.unattempted = True
+            self.owed[m.message_id] = m
+            self.owed_at[m.destination] += 1
+        self.messages[r.message_id] = m
+        self.use(r.destination)
         self.held += 1
         if m.key is not None:
             self.turns.setdefault(m.key, deque()).append(m)
-            if m.ran_at is not None:
-                self.turn_rest[m.key] = self.now + self.settings.rules.turn_gap
+            if m.possible_run_at is not None:
+                self.turn_rest[m.key] = self.now + self.settings.rules.ordering_gap
         if self.is_spent(m):
             self.end(m)
         else:
-            self.waiting.setdefault(m.dest, {})[m.name] = m
-            heapq.heappush(self.expiry, (m.deadline - 2 * self.settings.tick, m.name))
+            self.waiting.setdefault(m.destination, {})[m.message_id] = m
+            heapq.heappush(self.expiry, (m.deadline - 2 * self.settings.tick, m.message_id))
 
     def is_spent(self, m: Message) -> bool:
         """Whether no further attempt is open to a message that has none out."""
-        tries = m.attempts - m.abandoned
+        tries = m.attempts - m.unsent_attempts
         return (
-            tries >= self.settings.limits.most_tries
+            tries >= self.settings.limits.max_attempts
             or not self.may_repeat(m, None)
             or self.now >= m.deadline - 2 * self.settings.tick
         )
 
     def worth_at(self, m: Message, when: int) -> float:
         """What a message earns if it is delivered then."""
-        late = when - m.aim_at
+        late = when - m.target_at
         if when >= m.deadline:
             return 0.0
         if late <= 0:
-            return m.worth
-        if self.settings.decay is Decay.BY_HALF:
-            halves: float = 0.5 ** (late / m.klass.aim)
-            return m.worth * max(m.klass.late_worth, halves)
-        return m.worth * (1 - (1 - m.klass.late_worth) * late / (m.deadline - m.aim_at))
+            return m.value
+        if self.settings.value_decay is ValueDecay.HALVING:
+            halves: float = 0.5 ** (late / m.message_class.target_latency)
+            return m.value * max(m.message_class.late_value, halves)
+        return m.value * (1 - (1 - m.message_class.late_value) * late / (m.deadline - m.target_at))
 
     def may_refuse(self, m: Message) -> bool:
         """Rule 2: a refusal promises that trying again is harmless."""
-        if m.ran_at is None and m.call is None:
+        if m.possible_run_at is None and m.call is None:
             return True
-        if m.klass.repeat is Repeat.KEYED:
-            return m.klass.key_scope is Scope.ALL
-        return m.klass.repeat is Repeat.SAFE
+        if m.message_class.idempotency is Idempotency.KEYED:
+            return m.message_class.key_scope is KeyScope.ALL
+        return m.message_class.idempotency is Idempotency.SAFE
 
-    def may_repeat(self, m: Message, host: Host | None) -> bool:
+    def may_repeat(self, m: Message, host: Endpoint | None) -> bool:
         """Rule 2: whether a message may be sent (to that host, or to any) after what may have run."""
-        if m.ran_at is None or m.klass.repeat is Repeat.SAFE:
+        if m.possible_run_at is None or m.message_class.idempotency is Idempotency.SAFE:
             return True
-        if m.klass.repeat is Repeat.UNSAFE or self.now >= m.ran_at + m.klass.repeat_window:
+        if (
+            m.message_class.idempotency is Idempotency.UNSAFE
+            or self.now >= m.possible_run_at + m.message_class.deduplication_window
+        ):
             return False
         return (
             host is None
-            or m.klass.key_scope is Scope.ALL
-            or (m.klass.key_scope is Scope.ZONE and host.zone == m.ran_zone)
+            or m.message_class.key_scope is KeyScope.ALL
+            or (m.message_class.key_scope is KeyScope.ZONE and host.zone == m.possible_run_zone)
         )
 
     def end(self, m: Message, opens: int = 0) -> None:
         """The one place where this relay ends a message: refused where that is legal, failed where not. At
         once, and never held back to keep the client away: it is told when to come again, if that is known."""
-        if m.over:
+        if m.finished:
             return
         limits = self.settings.limits
         hold_off = max(0, min(opens - self.now, limits.max_retry_after)) if limits.retry_after else 0
-        self.actions.append(Refuse(m.name, hold_off) if self.may_refuse(m) else Fail(m.name))
+        self.actions.append(Reject(m.message_id, hold_off) if self.may_refuse(m) else Fail(m.message_id))
         self.finish(m)
 
     def finish(self, m: Message) -> None:
         """A message is over; it stays known until its last attempt has an outcome."""
-        if not m.over:
-            m.over = True
+        if not m.finished:
+            m.finished = True
             self.held -= 1
             self.pay(m)
         self.leave(m)
         if m.call is None:
-            self.messages.pop(m.name, None)
+            self.messages.pop(m.message_id, None)
             turn = self.turns.get(m.key) if m.key is not None else None
             if turn is not None and m.key is not None:
                 turn.remove(m)
@@ -444,17 +457,17 @@
 
     def pay(self, m: Message) -> None:
         """It has had its call, or is over."""
-        m.owed = False
-        if self.owed.pop(m.name, None) is not None:
-            self.owed_at[m.dest] -= 1
+        m.unattempted = False
+        if self.owed.pop(m.message_id, None) is not None:
+            self.owed_at[m.destination] -= 1
 
     def leave(self, m: Message) -> None:
         """Out of the hold; a destination that nothing waits for is not looked at each turn."""
-        waiting = self.waiting.get(m.dest, {})
-        if m.name in waiting:
-            del waiting[m.name]
+        waiting = self.waiting.get(m.destination, {})
+        if m.message_id in waiting:
+            del waiting[m.message_id]
             if not waiting:
-                del self.waiting[m.dest]
+                del self.waiting[m.destination]
 
     def expire(self) -> None:
         """End what is held at its deadline, with time left for the answer."""
@@ -467,67 +480,72 @@
 
     def shed(self) -> None:
         """A full hold turns newcomers away unseen: keep room by refusing what earns least by its turn."""
-        room = max(1, self.settings.limits.most_held // 16)
-        if self.held <= self.settings.limits.most_held - room:
+        room = max(1, self.settings.limits.max_held // 16)
+        if self.held <= self.settings.limits.max_held - room:
             return
         ranked = []
         for number, waiting in self.waiting.items():
-            pace = sum(self.rate(r.sent, SENT_SPAN) for r in self.routes.get(number, ()))
+            pace = sum(self.rate(r.send_times, SENT_SPAN) for r in self.routes.get(number, ()))
             turn = self.now + round(len(waiting) * SECOND / max(pace, SECOND / CUT_SPAN))
             ranked += [
-                (self.worth_at(m, turn), self.worth_at(m, self.now), -m.arrived, m.name, turn)
+                (self.worth_at(m, turn), self.worth_at(m, self.now), -m.arrived_at, m.message_id, turn)
                 for m in waiting.values()
-                if self.may_refuse(m) and not m.owed
+                if self.may_refuse(m) and not m.unattempted
             ]
-        for *_, name, turn in sorted(ranked)[: self.held + room - self.settings.limits.most_held]:
+        for *_, name, turn in sorted(ranked)[: self.held + room - self.settings.limits.max_held]:
             self.end(self.messages[name], turn)
 
     # ---- outcomes
 
-    def on_verdict(self, v: Verdict) -> None:
-        m = self.messages.get(v.call)
+    def on_verdict(self, v: AttemptEnded) -> None:
+        m = self.messages.get(v.message_id)
         if m is None or m.call is None or v.attempt != m.attempts - 1:
             return
         call, m.call = m.call, None
-        if m.owed and v.status not in (Status.ABANDONED, Status.CONNECT_FAILED):  # a call has been written
+        if m.unattempted and v.status not in (
+            Status.ABANDONED,
+            Status.CONNECT_FAILED,
+        ):  # a call has been written
             self.pay(m)
         if v.status is Status.ABANDONED:
-            m.abandoned += 1
-        call.open -= 1
-        if call.open == 0:
-            call.dest.calls.remove(call)
-            call.host.calls -= 1
+            m.unsent_attempts += 1
+        call.unsettled_messages -= 1
+        if call.unsettled_messages == 0:
+            call.destination.calls.remove(call)
+            call.endpoint.calls_in_flight -= 1
             del self.calls[call]
-            self.freed.append(call.host)
-        if not call.settled:
-            call.settled = True
+            self.freed.append(call.endpoint)
+        if not call.outcome_recorded:
+            call.outcome_recorded = True
             if not v.stale:  # an idle connection's end says nothing of who is behind it
-                self.learn(call, v.status, v.cost, v.wait, v.report)
-        if v.wait:  # rule 6; every outcome may tell a wait, also the others of one call
-            call.dest.wait_until = max(call.dest.wait_until, self.now + v.wait)
-        if v.status in MAY_HAVE_RUN and m.ran_at is None:
-            m.ran_at, m.ran_zone = call.sent_at, call.host.zone
+                self.learn(call, v.status, v.duration, v.retry_after, v.report)
+        if v.retry_after:  # rule 6; every outcome may tell a wait, also the others of one call
+            call.destination.retry_after_until = max(
+                call.destination.retry_after_until, self.now + v.retry_after
+            )
+        if v.status in MAY_HAVE_RUN and m.possible_run_at is None:
+            m.possible_run_at, m.possible_run_zone = call.sent_at, call.endpoint.zone
         if v.status in MAY_STILL_RUN and m.key is not None:
             self.turn_rest.pop(m.key, None)  # the oldest first: those that are over are dropped
-            self.turn_rest[m.key] = self.now + self.settings.rules.turn_gap
+            self.turn_rest[m.key] = self.now + self.settings.rules.ordering_gap
             while self.turn_rest and self.turn_rest[next(iter(self.turn_rest))] <= self.now:
                 del self.turn_rest[next(iter(self.turn_rest))]
-        if v.finished or m.over or v.status is Status.OK:
+        if v.finished or m.finished or v.status is Status.OK:
             self.finish(m)
         elif self.is_spent(m) or v.status is Status.MOOT and not v.no_slot:
             self.end(m)  # moot, but not for want of a slot: no further attempt would go out either
         else:  # back into the hold, on a timer that grows with its attempts
-            tries = max(1, m.attempts - m.abandoned)
-            pause = min(REST << min(tries - 1, 8), m.klass.aim)
+            tries = max(1, m.attempts - m.unsent_attempts)
+            pause = min(REST << min(tries - 1, 8), m.message_class.target_latency)
             m.not_before = self.now + round(pause * self.random.uniform(0.5, 1.0))
-            self.waiting.setdefault(m.dest, {})[m.name] = m
-            heapq.heappush(self.expiry, (m.deadline - 2 * self.settings.tick, m.name))
+            self.waiting.setdefault(m.destination, {})[m.message_id] = m
+            heapq.heappush(self.expiry, (m.deadline - 2 * self.settings.tick, m.message_id))
 
-    def on_probed(self, event: Probed) -> None:
-        if event.host in self.hosts:
-            dest, host = self.hosts[event.host]
+    def on_probed(self, event: ProbeEnded) -> None:
+        if event.endpoint in self.hosts:
+            dest, host = self.hosts[event.endpoint]
             host.probing = False
-            call = Call(dest, host, self.now - event.cost, [])
+            call = Call(dest, host, self.now - event.duration, [])
             self.learn(call, event.status, 0, 0, event.report)
 
     def learned(self) -> dict[str, Any]:
@@ -535,44 +553,54 @@
         their hosts, of hosts by name. Times are the machine's, the same for both."""
         dests = {}
         for name, (dest, _) in self.hosts.items():
-            if dest.hosts[0].name == name:
-                facts = {f.name: getattr(dest, f.name) for f in fields(dest) if f.name not in NOT_LEARNED}
-                dests[name] = facts | {span: list(getattr(dest, span)) for span in LEARNED_SPANS}
+            if dest.endpoints[0].name == name:
+                facts = {
+                    outer_name: getattr(dest, attribute)
+                    for attribute, outer_name in HANDOVER_NAMES.items()
+                    if attribute not in HANDOVER_TIME_LISTS
+                }
+                dests[name] = facts | {
+                    HANDOVER_NAMES[attribute]: list(getattr(dest, attribute))
+                    for attribute in HANDOVER_TIME_LISTS
+                }
         hosts = {
-            name: [getattr(host, fact) for fact in LEARNED_OF_HOSTS] for name, (_, host) in self.hosts.items()
+            name: [getattr(host, fact) for fact in HANDOVER_ENDPOINT_ATTRIBUTES]
+            for name, (_, host) in self.hosts.items()
         }
         return {"started": self.started, "dests": dests, "hosts": hosts}
 
     def on_learned(self, facts: dict[str, Any]) -> None:
         """Go on where another process of this relay left off, perhaps of another version: what it says of
         hosts or of facts unknown to us is moot."""
-        facts_known = {f.name for f in fields(Destination)} - set(NOT_LEARNED) | set(LEARNED_SPANS)
         self.started = min(self.started or self.now, facts["started"] or self.now)
         for name, known in facts["dests"].items():
             if name in self.hosts:
                 dest = self.hosts[name][0]
-                for fact in facts_known & known.keys():
-                    value = known[fact]
-                    setattr(dest, fact, list(value) if fact in LEARNED_SPANS else value)
+                for attribute, outer_name in HANDOVER_NAMES.items():
+                    if outer_name in known.keys():
+                        value = known[outer_name]
+                        setattr(dest, attribute, list(value) if attribute in HANDOVER_TIME_LISTS else value)
         for name, values in facts["hosts"].items():
             if name in self.hosts:
-                for fact, value in zip(LEARNED_OF_HOSTS, values, strict=False):  # a later one adds to the end
+                for fact, value in zip(
+                    HANDOVER_ENDPOINT_ATTRIBUTES, values, strict=False
+                ):  # a later one adds to the end
                     setattr(self.hosts[name][1], fact, value)
 
     def on_health_restored(self, event: HealthRestored) -> None:
         """What this relay saw in an earlier life binds it: it had been told."""
         for record in event.records:
-            if record.host in self.hosts:
-                dest = self.hosts[record.host][0]
+            if record.endpoint in self.hosts:
+                dest = self.hosts[record.endpoint][0]
                 restore(dest, record)
-                dest.next_at = self.slow_start.time_for(
+                dest.next_trial_at = self.slow_start.time_for(
                     dest, self.random.uniform(0.1, 1.0), self.now, self.now
                 )
 
     def keep_health(self) -> None:
         """Ask for what has changed in this turn to outlast the process."""
-        if records := tuple(record_of(dest) for dest in self.changed if dest.hosts):
-            self.actions.append(KeepHealth(records))
+        if records := tuple(record_of(dest) for dest in self.changed if dest.endpoints):
+            self.actions.append(PersistHealth(records))
         self.changed.clear()
 
     def health_counts(self) -> Counter[HealthState]:
@@ -581,35 +609,37 @@
             state_of(dest, self.slow_start, self.now) for routes in self.routes.values() for dest in routes
         )
 
-    def on_overheard(self, o: Overheard) -> None:
-        if o.host in self.hosts:
-            dest, host = self.hosts[o.host]
+    def on_overheard(self, o: PredecessorCallEnded) -> None:
+        if o.endpoint in self.hosts:
+            dest, host = self.hosts[o.endpoint]
             if not o.stale:
-                self.learn(Call(dest, host, o.sent_at, []), o.status, o.cost, o.wait, None)
-            if o.wait:
-                dest.wait_until = max(dest.wait_until, self.now + o.wait)
+                self.learn(Call(dest, host, o.sent_at, []), o.status, o.duration, o.retry_after, None)
+            if o.retry_after:
+                dest.retry_after_until = max(dest.retry_after_until, self.now + o.retry_after)
 
-    def on_told(self, event: Told) -> None:
+    def on_told(self, event: RetryAfter) -> None:
         """Rule 6: a wait binds from here on, whatever becomes of the answer that told it."""
-        m = self.messages.get(event.call)
+        m = self.messages.get(event.message_id)
         call = m.call if m is not None else None
-        if call is not None or event.host in self.hosts:
-            dest = call.dest if call is not None else self.hosts[event.host][0]
-            dest.wait_until = max(dest.wait_until, self.now + event.wait)
+        if call is not None or event.endpoint in self.hosts:
+            dest = call.destination if call is not None else self.hosts[event.endpoint][0]
+            dest.retry_after_until = max(dest.retry_after_until, self.now + event.wait)
 
-    def learn(self, call: Call, status: Status, cost: int, wait: int, report: Report | None) -> None:
+    def learn(self, call: Call, status: Status, cost: int, wait: int, report: LoadReport | None) -> None:
         """What one call's outcome says of its destination and host."""
-        dest, host = call.dest, call.host
+        dest, host = call.destination, call.endpoint
         left: float | None = None  # share of the limit, where one is reported
         if report is not None and report.limit > 0:
-            dest.listed, dest.reported, left = report.limit, True, report.left
+            dest.listed_rate, dest.rate_is_reported, left = report.limit, True, report.remaining
         if status is Status.OK:
-            dest.refused_from = None
+            dest.throttled_since = None
             self.pause(dest, False, left)
-            host.last_ok_sent = max(host.last_ok_sent, call.sent_at)
-            self.mark(dest.served, self.settings.rules.ramp_time)
+            host.last_success_sent_at = max(host.last_success_sent_at, call.sent_at)
+            self.mark(dest.success_times, self.settings.rules.slow_start_duration)
             if cost:
-                dest.mean += (cost - dest.mean) * (MEAN_WEIGHT if dest.mean else 1.0)
+                dest.mean_response_time += (cost - dest.mean_response_time) * (
+                    MEAN_WEIGHT if dest.mean_response_time else 1.0
+                )
             self.judge(call, True, "answered")
         elif status is Status.FULL:
             self.on_refused(call, wait, left)
@@ -618,67 +648,73 @@
 
     def on_failed(self, call: Call, status: Status) -> None:
         """A call that failed, or was given up."""
-        dest = call.dest
-        dest.failed_at = self.now
-        if call.blamed:  # it counted when it was overdue; now it tells how long the trouble has lasted
-            if dest.bad_from is not None:
+        dest = call.destination
+        dest.last_failure_at = self.now
+        if (
+            call.counted_overdue
+        ):  # it counted when it was overdue; now it tells how long the trouble has lasted
+            if dest.unhealthy_since is not None:
                 self.changed[dest] = None
-                dest.bad_at = self.now
+                dest.last_bad_outcome_at = self.now
                 # A partner that is back resets what hung there at all relays at once.
                 trial = self.slow_start.time_for(dest, self.random.uniform(0.1, 1.0), self.now, self.now)
-                dest.next_at = max(dest.next_at, trial)
+                dest.next_trial_at = max(dest.next_trial_at, trial)
         elif status in (Status.RESET, Status.TIMEOUT) and self.answers(dest):
-            self.distrust(call.host)
+            self.distrust(call.endpoint)
         else:
             self.judge(call, False, status.name.lower())
 
-    def distrust(self, host: Host) -> None:
+    def distrust(self, host: Endpoint) -> None:
         """One connection broke or fell silent; the destination is well."""
-        host.bad += BAD_WEIGHT * (1.0 - host.bad)
+        host.failure_rate += BAD_WEIGHT * (1.0 - host.failure_rate)
         host.retry_at = self.now + REST
 
     def answers(self, dest: Destination) -> bool:
         """Whether a call there was answered well so lately that the next may just be on its way. Connections
         may break or fall silent one by one between us; where a destination goes down, its answers end too."""
-        return bool(dest.served) and self.now - dest.served[-1] < self.late_after(dest)
+        return bool(dest.success_times) and self.now - dest.success_times[-1] < self.late_after(dest)
 
     def on_refused(self, call: Call, wait: int, left: float | None) -> None:
         """The design's signal. A refusal that no limit explains, for long, is a shut destination."""
-        dest = call.dest
-        if dest.refused_from is None:
-            dest.refused_from = self.now
-        if call.sent_at >= dest.cut_at:  # what went out before a cut says nothing of the new ceiling
-            dest.refusals.append(self.now)
-        del dest.refusals[: bisect_right(dest.refusals, self.now - CUT_SPAN)]
-        if len(dest.refusals) >= CUT_AFTER:
-            dest.refusals.clear()
-            dest.cut_from = dest.ceiling or self.rate(dest.sent, SENT_SPAN)
+        dest = call.destination
+        if dest.throttled_since is None:
+            dest.throttled_since = self.now
+        if (
+            call.sent_at >= dest.rate_decreased_at
+        ):  # what went out before a cut says nothing of the new ceiling
+            dest.throttle_times.append(self.now)
+        del dest.throttle_times[: bisect_right(dest.throttle_times, self.now - CUT_SPAN)]
+        if len(dest.throttle_times) >= CUT_AFTER:
+            dest.throttle_times.clear()
+            dest.rate_before_decrease = dest.rate_limit or self.rate(dest.send_times, SENT_SPAN)
             least = min(1.0, SECOND / max(1, self.call_interval(dest))) / 2
-            dest.ceiling = max(CUT * dest.cut_from, least)
-            dest.ceiling_at = dest.cut_at = self.now
-            dest.next_call = max(dest.next_call, self.now)  # no credit from before the cut
-            self.log(f"cut dest={dest.number} ceiling={dest.ceiling:.3f}/s")
-        if call.sent_at >= dest.pause_at:
+            dest.rate_limit = max(CUT * dest.rate_before_decrease, least)
+            dest.rate_limit_changed_at = dest.rate_decreased_at = self.now
+            dest.next_call_at = max(dest.next_call_at, self.now)  # no credit from before the cut
+            self.log(f"cut dest={dest.number} ceiling={dest.rate_limit:.3f}/s")
+        if call.sent_at >= dest.backoff_changed_at:
             self.pause(dest, True, left)
-            dest.rest_until += wait
+            dest.backoff_until += wait
         # A limit says that it is spent. Told to wait longer than one would make, the destination is shut and
         # says when it opens; untold, refusals that last with room left mean the same.
         limit_wait = longest_limit_wait(dest)
         if wait > limit_wait:
             before = state_of(dest, self.slow_start, self.now)
-            self.size_up(dest, dest.refused_from)
-            dest.bad_at = dest.ramp_from = self.now + wait
-            dest.warm_at = dest.ramp_from + self.settings.rules.ramp_time
-            dest.next_at = self.slow_start.time_for(dest, self.random.random(), dest.ramp_from, self.now)
-            self.log_health(dest, call.host, before, "told to wait")
+            self.size_up(dest, dest.throttled_since)
+            dest.last_bad_outcome_at = dest.slow_start_began_at = self.now + wait
+            dest.slow_start_ends_at = dest.slow_start_began_at + self.settings.rules.slow_start_duration
+            dest.next_trial_at = self.slow_start.time_for(
+                dest, self.random.random(), dest.slow_start_began_at, self.now
+            )
+            self.log_health(dest, call.endpoint, before, "told to wait")
         if not wait and (left is None or left > HALF_LEFT):  # shut, perhaps: see SlowStart.may_begin
-            self.size_up(dest, dest.refused_from)
-            dest.bad_at = self.now
+            self.size_up(dest, dest.throttled_since)
+            dest.last_bad_outcome_at = self.now
         rare = self.call_interval(dest) > CUT_SPAN  # two in a row are enough then
         lasts = 0 if rare else limit_wait - wait
         room_left = left is None or left > HALF_LEFT
-        if wait <= limit_wait and room_left and self.now - dest.refused_from > lasts:
-            dest.failed_at = self.now
+        if wait <= limit_wait and room_left and self.now - dest.throttled_since > lasts:
+            dest.last_failure_at = self.now
             self.judge(call, False, "refused")
 
     def pause(self, dest: Destination, refused: bool, left: float | None) -> None:
@@ -688,57 +724,61 @@
         turns where turns are rare: refused calls may use up the limit too."""
         rare = self.call_interval(dest) > CLIMB_EVERY
         most = 3 * self.call_interval(dest) if rare else CLIMB_EVERY
-        dest.rest *= 0.5 ** ((self.now - dest.pause_at) / most)
+        dest.backoff *= 0.5 ** ((self.now - dest.backoff_changed_at) / most)
         if refused or rare and left is not None and left < SPENT:
             # None told: perhaps shut. Nothing at all left: refused calls use it up. Both rest longer at once.
             step = (most / REST) ** ((1 if left else 1.5) / CUT_AFTER)
-            grown = step * max(REST if rare else 0.0, dest.rest)
-            dest.rest = min(max(REST, grown), most)
+            grown = step * max(REST if rare else 0.0, dest.backoff)
+            dest.backoff = min(max(REST, grown), most)
         else:
-            ends = not rare or left is not None and left > HALF_LEFT or CUT * dest.rest < REST
-            dest.rest = 0.0 if ends else CUT * dest.rest
-        dest.pause_at = self.now
-        dest.rest_until = self.now + round(dest.rest * self.random.uniform(0.5, 1.5))
+            ends = not rare or left is not None and left > HALF_LEFT or CUT * dest.backoff < REST
+            dest.backoff = 0.0 if ends else CUT * dest.backoff
+        dest.backoff_changed_at = self.now
+        dest.backoff_until = self.now + round(dest.backoff * self.random.uniform(0.5, 1.5))
 
     def size_up(self, dest: Destination, since: int) -> None:
         """Trouble: at the first sign of it, what was answered well until now."""
         self.changed[dest] = None
-        if dest.bad_from is None:
-            dest.bad_from = since
-            served = self.rate(dest.served, self.settings.rules.ramp_time)
+        if dest.unhealthy_since is None:
+            dest.unhealthy_since = since
+            served = self.rate(dest.success_times, self.settings.rules.slow_start_duration)
             self.slow_start.size_up(dest, served, self.now - (self.started or self.now))
 
     def judge(self, call: Call, good: bool, reason: str) -> None:
         """Health from outcomes, and when to try again after a bad one; ``reason`` is for the log."""
-        dest, host = call.dest, call.host
+        dest, host = call.destination, call.endpoint
         before = state_of(dest, self.slow_start, self.now)
         for one in (dest, host):
-            one.bad += BAD_WEIGHT * ((0.0 if good else 1.0) - one.bad)
-        was, dest.out = dest.out, dest.bad > OUT
-        if good and not dest.out and (was or dest.unproved or self.slow_start.may_begin(dest, self.now)):
+            one.failure_rate += BAD_WEIGHT * ((0.0 if good else 1.0) - one.failure_rate)
+        was, dest.in_outage = dest.in_outage, dest.failure_rate > OUT
+        if (
+            good
+            and not dest.in_outage
+            and (was or dest.unconfirmed or self.slow_start.may_begin(dest, self.now))
+        ):
             self.slow_start.begin(dest, self.now)
             self.changed[dest] = None
             # The trial was a call of the ramp. Where this relay sends more than a few, one is within chance.
             spent = 1.0 if self.slow_start.sees_little(dest) else self.random.random()
-            dest.next_at = self.slow_start.time_for(dest, spent, self.now, self.now)
-        elif good and not dest.out and not self.slow_start.is_on(dest, self.now):
-            if dest.bad_from is not None:
+            dest.next_trial_at = self.slow_start.time_for(dest, spent, self.now, self.now)
+        elif good and not dest.in_outage and not self.slow_start.is_on(dest, self.now):
+            if dest.unhealthy_since is not None:
                 self.changed[dest] = None
-            dest.bad_from = None
+            dest.unhealthy_since = None
         elif not good:
             self.size_up(dest, self.now)
-            dest.bad_at = self.now
-            self.mark(dest.failures, self.settings.rules.ramp_time)
-            if dest.out:
-                dest.ramp_from = None
+            dest.last_bad_outcome_at = self.now
+            self.mark(dest.failure_times, self.settings.rules.slow_start_duration)
+            if dest.in_outage:
+                dest.slow_start_began_at = None
             elif self.slow_start.is_on(dest, self.now) and self.slow_start.failed(dest, self.now):
                 self.log(f"slow start anew dest={dest.number} host={host.name}")
             host.retry_at = self.slow_start.time_for(dest, self.random.uniform(0.1, 1.0), self.now, self.now)
             sent_since = any(other.sent_at > call.sent_at for other in dest.calls)  # and paces the next
-            dest.next_at = max(dest.next_at, host.retry_at) if sent_since else host.retry_at
+            dest.next_trial_at = max(dest.next_trial_at, host.retry_at) if sent_since else host.retry_at
         self.log_health(dest, host, before, reason)
 
-    def log_health(self, dest: Destination, host: Host, before: HealthState, reason: str) -> None:
+    def log_health(self, dest: Destination, host: Endpoint, before: HealthState, reason: str) -> None:
         """One line for each change of state, with what the destination may get from here and what it got."""
         state = state_of(dest, self.slow_start, self.now)
         if state is before:
@@ -747,24 +787,24 @@
         self.log(
             f"{CHANGED_TO[state]} dest={dest.number} host={host.name} was={before.value} reason={reason}"
             f" part={self.slow_start.part(dest):.3f}/s budget={SECOND / interval:.3f}/s"
-            f" sent={self.rate(dest.sent, SENT_SPAN):.2f}/s"
+            f" sent={self.rate(dest.send_times, SENT_SPAN):.2f}/s"
         )
 
     def late_after(self, dest: Destination) -> int:
-        return round(LATE * dest.mean) or min(c.aim for c in self.settings.classes)
+        return round(LATE * dest.mean_response_time) or min(c.target_latency for c in self.settings.classes)
 
     def blame_overdue(self) -> None:
         """A silent host sends no outcome at all. A call much over the mean counts as bad, once, unless one
         sent after it has been answered: that is a heavy tail, not a sick host."""
         for call in self.calls:
-            if call.blamed or call.host.last_ok_sent >= call.sent_at:
+            if call.counted_overdue or call.endpoint.last_success_sent_at >= call.sent_at:
                 continue
-            due = call.sent_at + self.late_after(call.dest)
+            due = call.sent_at + self.late_after(call.destination)
             if due <= self.now:
-                call.blamed = True
-                call.dest.failed_at = self.now
-                if self.answers(call.dest):
-                    self.distrust(call.host)
+                call.counted_overdue = True
+                call.destination.last_failure_at = self.now
+                if self.answers(call.destination):
+                    self.distrust(call.endpoint)
                 else:
                     self.judge(call, False, "overdue")
             else:
@@ -788,50 +828,56 @@
 
     def climb(self, dest: Destination) -> None:
         """The slower, exponential way back to the target; a ceiling that reaches it is dropped."""
-        while dest.ceiling is not None and self.now >= dest.ceiling_at + CLIMB_EVERY:
-            if dest.listed:  # traffic is uneven: what was cut may lie above an even part, and climbs back
-                target = max(dest.listed / self.settings.relays, dest.cut_from)
+        while dest.rate_limit is not None and self.now >= dest.rate_limit_changed_at + CLIMB_EVERY:
+            if (
+                dest.listed_rate
+            ):  # traffic is uneven: what was cut may lie above an even part, and climbs back
+                target = max(dest.listed_rate / self.settings.relays, dest.rate_before_decrease)
             else:
-                target = 2 * self.rate(dest.arrived, SENT_SPAN)
-            dest.ceiling_at += CLIMB_EVERY
-            dest.ceiling += CLIMB_SHARE * max(0.0, target - dest.ceiling)
-            if dest.ceiling >= REACHED * target:
-                dest.ceiling = None
+                target = 2 * self.rate(dest.arrival_times, SENT_SPAN)
+            dest.rate_limit_changed_at += CLIMB_EVERY
+            dest.rate_limit += CLIMB_SHARE * max(0.0, target - dest.rate_limit)
+            if dest.rate_limit >= REACHED * target:
+                dest.rate_limit = None
                 self.log(f"ceiling dropped dest={dest.number}")
 
     def has_slot(self) -> bool:
-        return len(self.calls) + self.elsewhere < self.settings.slots
+        return len(self.calls) + self.elsewhere < self.settings.max_calls
 
     def most_calls(self, dest: Destination, paced: bool = True) -> int:
         """Calls out at once: Little's Law, capped. The cap alone, where our pace does not hold."""
-        slots = self.settings.slots
+        slots = self.settings.max_calls
         most = max(1, int(SLOT_SHARE * slots))
-        if dest.ceiling is not None and paced:
-            most = min(most, max(1, round(2 * dest.ceiling * dest.mean / SECOND)))
-        if dest.bad > SUSPECT:
+        if dest.rate_limit is not None and paced:
+            most = min(most, max(1, round(2 * dest.rate_limit * dest.mean_response_time / SECOND)))
+        if dest.failure_rate > SUSPECT:
             most = min(most, max(1, slots // 2))  # a sick destination holds half at most
         return most
 
-    def gate(self, dest: Destination, host: Host, m: Message | None) -> int:
+    def gate(self, dest: Destination, host: Endpoint, m: Message | None) -> int:
         """The one gate: may this be sent now? The time to look again if not, NEVER if only an event can tell.
         Without a message: whether the host is open for any."""
-        if not host.usable or not self.has_slot():
+        if not host.available or not self.has_slot():
             return NEVER
         if m is not None and self.is_for_the_next_life(m, dest):
             return NEVER
-        last = NEVER if m is None or not m.owed else m.deadline - self.last_turn(dest)
+        last = NEVER if m is None or not m.unattempted else m.deadline - self.last_turn(dest)
         freed = last if last > self.now else NEVER  # what is owed a call is freed of our own pace by then
-        alone = dest.refused_from is not None or dest.bad > SUSPECT and last == NEVER
+        alone = dest.throttled_since is not None or dest.failure_rate > SUSPECT and last == NEVER
         if alone and last > self.now and (dest.calls or host.probing):
             return freed  # in trouble or refused since the last success: one at a time
         if len(dest.calls) >= self.most_calls(dest, last > self.now):
             return freed
-        when = dest.wait_until if last <= self.now else max(dest.wait_until, min(self.paced(dest), last))
+        when = (
+            dest.retry_after_until
+            if last <= self.now
+            else max(dest.retry_after_until, min(self.paced(dest), last))
+        )
         here = sum(len(route.calls) for route in self.routes[dest.number])
-        if here >= max(1, int(SLOT_SHARE * self.settings.slots)):
+        if here >= max(1, int(SLOT_SHARE * self.settings.max_calls)):
             return NEVER  # routes apart are one destination where slots are shared out
-        if dest.bad > SUSPECT or self.recovers(dest):
-            when = max(when, dest.next_at)
+        if dest.failure_rate > SUSPECT or self.recovers(dest):
+            when = max(when, dest.next_trial_at)
         if m is not None:
             when = max(when, m.not_before)
             if m.key is not None:
@@ -840,7 +886,11 @@
                 when = max(when, self.turn_rest.get(m.key, 0))
             if not self.may_repeat(m, host):
                 return NEVER
-            if m.klass.repeat is Repeat.UNSAFE and dest.bad > SUSPECT and self.settings.limits.probes:
+            if (
+                m.message_class.idempotency is Idempotency.UNSAFE
+                and dest.failure_rate > SUSPECT
+                and self.settings.limits.probes
+            ):
                 when = max(when, m.deadline - self.last_call(m, dest))  # let others or a probe try first
         return when
 
@@ -851,14 +901,14 @@
 
     def paced(self, dest: Destination) -> int:
         """When our own pace lets the next call go there: no rule asks for it."""
-        return dest.rest_until if dest.ceiling is None else max(dest.rest_until, dest.next_call)
+        return dest.backoff_until if dest.rate_limit is None else max(dest.backoff_until, dest.next_call_at)
 
     def last_turn(self, dest: Destination) -> int:
         """How long before its end a message that is owed a call takes it whatever our pace: early enough for
         all that are owed one there."""
-        owed, mean = self.owed_at[dest.number], dest.mean or self.late_after(dest) / LATE
+        owed, mean = self.owed_at[dest.number], dest.mean_response_time or self.late_after(dest) / LATE
         needs = round(mean * max(LATE, owed / self.most_calls(dest, False)))
-        if dest.bad > SUSPECT or self.recovers(dest):
+        if dest.failure_rate > SUSPECT or self.recovers(dest):
             needs = max(needs, self.slow_start.time_for(dest, owed, self.now, self.now) - self.now)
         return needs
 
@@ -872,10 +922,10 @@
     def last_call(self, m: Message, dest: Destination) -> int:
         """How long before its end an unsafe message goes also to a suspect host: with many that are owed a
         call there, early enough for all of them."""
-        if not m.owed:
-            return m.klass.aim
-        rounds = math.ceil(self.owed_at[m.dest] / self.most_calls(dest))
-        return rounds * max(2 * self.late_after(dest), m.klass.aim)
+        if not m.unattempted:
+            return m.message_class.target_latency
+        rounds = math.ceil(self.owed_at[m.destination] / self.most_calls(dest))
+        return rounds * max(2 * self.late_after(dest), m.message_class.target_latency)
 
     def clear_to_send(self, now: int, call: str | None, name: str) -> bool:
         """The last look, just before a call's first byte (a probe's, without ``call``): a connection may
@@ -885,21 +935,21 @@
             return False
         m = self.messages.get(call) if call is not None else None
         if m is not None and m.call is not None:
-            dest, host = m.call.dest, m.call.host
-            if m.over or now >= m.deadline or not self.may_repeat(m, host):
+            dest, host = m.call.destination, m.call.endpoint
+            if m.finished or now >= m.deadline or not self.may_repeat(m, host):
                 return False
         elif call is None and name in self.hosts:
             dest, host = self.hosts[name]
         else:
             return False
-        return host.usable and now >= dest.wait_until
+        return host.available and now >= dest.retry_after_until
 
     def urgency(self, m: Message) -> float:
         """What is lost if the message waits another aim, for each second of slot time it takes."""
-        means = [r.mean for r in self.routes[m.dest] if r.mean]
-        cost = min(means) if means else m.klass.aim / 4
+        means = [r.mean_response_time for r in self.routes[m.destination] if r.mean_response_time]
+        cost = min(means) if means else m.message_class.target_latency / 4
         then = self.now + round(cost)
-        return (self.worth_at(m, then) - self.worth_at(m, then + m.klass.aim)) / cost
+        return (self.worth_at(m, then) - self.worth_at(m, then + m.message_class.target_latency)) / cost
 
     def plan(self) -> None:
         """One pass over all that could go now, most urgent first."""
@@ -916,31 +966,36 @@
                 hopeless += [
                     (m, opens)
                     for m in waiting.values()
-                    if opens >= m.deadline and self.may_refuse(m) and not m.owed
+                    if opens >= m.deadline and self.may_refuse(m) and not m.unattempted
                 ]
             if opens > self.now and self.owed and number in self.routes:
                 # What is owed a call waits for its pace, not for a call's end.
-                ready += [m for m in waiting.values() if m.owed]
+                ready += [m for m in waiting.values() if m.unattempted]
         for m, opens in hopeless:  # handed back at once: the client may come to a relay that may try sooner
             self.end(m, opens)
         if self.stopping_at < NEVER:
             ready = [
                 m
                 for m in ready
-                if not all(self.is_for_the_next_life(m, dest) for dest in self.routes[m.dest])
+                if not all(self.is_for_the_next_life(m, dest) for dest in self.routes[m.destination])
             ]
         # Of those owed a call, one that could not connect stands back for who has had no try at all.
         ready.sort(
-            key=lambda m: (not m.owed, m.attempts if m.owed else -self.urgency(m), m.deadline, m.arrived)
+            key=lambda m: (
+                not m.unattempted,
+                m.attempts if m.unattempted else -self.urgency(m),
+                m.deadline,
+                m.arrived_at,
+            )
         )
         shut: set[int] = set()  # with hundreds held, a look at each one's gate takes a relay's whole CPU
         for m in ready:
             if not self.has_slot():
                 break
-            if m.call is None and not m.over and m.dest not in shut and not self.place(m):
-                opens = self.opens(m.dest)
-                if opens > self.now and not m.owed:
-                    shut.add(m.dest)
+            if m.call is None and not m.finished and m.destination not in shut and not self.place(m):
+                opens = self.opens(m.destination)
+                if opens > self.now and not m.unattempted:
+                    shut.add(m.destination)
                     self.wake_at = min(self.wake_at, opens)
         if self.settings.limits.probes:
             self.probe()
@@ -948,7 +1003,7 @@
     def opens(self, number: int) -> int:
         """When a destination next takes any message, NEVER if only an event can tell."""
         return min(
-            (self.gate(dest, host, None) for dest in self.routes.get(number, ()) for host in dest.hosts),
+            (self.gate(dest, host, None) for dest in self.routes.get(number, ()) for host in dest.endpoints),
             default=NEVER,
         )
 
@@ -956,97 +1011,104 @@
         """Send a message by the best host that the gate lets it use; others for that host fill the call.
         Whether it went out."""
         fees = self.settings.zone_fees
-        best: tuple[Destination, Host] | None = None
+        best: tuple[Destination, Endpoint] | None = None
         best_rank: tuple[float, ...] = ()
-        for dest in self.routes[m.dest]:
-            for host in dest.hosts:
+        for dest in self.routes[m.destination]:
+            for host in dest.endpoints:
                 when = self.gate(dest, host, m)
                 if when > self.now:
                     if when < NEVER:
                         self.wake_at = min(self.wake_at, when)
                     continue
-                fee = fees[host.zone] if host.zone < len(fees) and len(self.routes[m.dest]) > 1 else 0.0
-                rank = (self.is_sick(host, self.now), fee, host.calls, host.last_sent)
+                fee = (
+                    fees[host.zone] if host.zone < len(fees) and len(self.routes[m.destination]) > 1 else 0.0
+                )
+                rank = (self.is_sick(host, self.now), fee, host.calls_in_flight, host.last_sent_at)
                 if best is None or rank < best_rank:
                     best, best_rank = (dest, host), rank
         if best is None:
             return False
         dest, host = best
         fill = [m]
-        if dest.per_call > 1 and not dest.out:
+        if dest.max_batch_size > 1 and not dest.in_outage:
             others = [
                 o
-                for o in self.waiting[m.dest].values()
+                for o in self.waiting[m.destination].values()
                 if o is not m and self.gate(dest, host, o) <= self.now
             ]
-            others.sort(key=lambda o: (-self.urgency(o), o.deadline, o.arrived))
-            fill += others[: dest.per_call - 1]
+            others.sort(key=lambda o: (-self.urgency(o), o.deadline, o.arrived_at))
+            fill += others[: dest.max_batch_size - 1]
         call = Call(dest, host, self.now, fill)
         self.count_call(dest, host)
         self.calls[call] = None
-        host.calls += 1
+        host.calls_in_flight += 1
         dest.calls.append(call)
         for one in fill:
             one.call = call
             one.attempts += 1
-            call.open += 1
+            call.unsettled_messages += 1
             self.leave(one)
-            self.actions.append(Send(one.name, host.name, self.give_up_at(one, dest)))
+            self.actions.append(Send(one.message_id, host.name, self.give_up_at(one, dest)))
         return True
 
-    def count_call(self, dest: Destination, host: Host) -> None:
+    def count_call(self, dest: Destination, host: Endpoint) -> None:
         """Spend what paces the next call there; a ceiling lets at most one second's calls catch up."""
-        self.mark(dest.sent, SENT_SPAN)
-        host.gap = self.now - host.last_sent
-        host.last_sent = self.now
-        if dest.ceiling is not None:
-            dest.next_call = max(dest.next_call, self.now - SECOND) + round(SECOND / dest.ceiling)
-        if dest.bad > SUSPECT or self.recovers(dest):
-            dest.next_at = self.slow_start.time_for(dest, 1.0, self.now, self.now)
+        self.mark(dest.send_times, SENT_SPAN)
+        host.last_send_interval = self.now - host.last_sent_at
+        host.last_sent_at = self.now
+        if dest.rate_limit is not None:
+            dest.next_call_at = max(dest.next_call_at, self.now - SECOND) + round(SECOND / dest.rate_limit)
+        if dest.failure_rate > SUSPECT or self.recovers(dest):
+            dest.next_trial_at = self.slow_start.time_for(dest, 1.0, self.now, self.now)
 
     def close_idle(self) -> None:
         """A connection is kept only where the next call comes soon: idle ones of many relays fill a host's
         table, and are dropped unseen. All relays together hold one no longer than a single relay might."""
         for host in self.freed:
-            if not host.calls and host.gap > self.settings.limits.conn_idle // self.settings.relays:
-                self.actions.append(Close(host.name))
+            if (
+                not host.calls_in_flight
+                and host.last_send_interval
+                > self.settings.limits.connection_idle_timeout // self.settings.relays
+            ):
+                self.actions.append(CloseIdleConnections(host.name))
         self.freed.clear()
 
     def give_up_at(self, m: Message, dest: Destination) -> int:
         """A time-out can only help what may be sent again, or others that are owed a call, and so a slot."""
         others = any(o is not m and o.call is None for o in self.owed.values())
-        if m.klass.repeat is Repeat.UNSAFE and not others:
+        if m.message_class.idempotency is Idempotency.UNSAFE and not others:
             return m.deadline
-        return min(m.deadline, self.now + max(2 * self.late_after(dest), m.klass.aim))
+        return min(m.deadline, self.now + max(2 * self.late_after(dest), m.message_class.target_latency))
 
     def probe(self) -> None:
         """Where only messages that cannot be repeated wait on a suspect host, a probe tries first."""
         if self.stopping_at < NEVER:
             return
         for number, waiting in self.waiting.items():
-            if not any(m.klass.repeat is Repeat.UNSAFE for m in waiting.values()):
+            if not any(m.message_class.idempotency is Idempotency.UNSAFE for m in waiting.values()):
                 continue
             for dest in self.routes.get(number, ()):
-                for host in dest.hosts:
+                for host in dest.endpoints:
                     if (
-                        dest.bad > SUSPECT
+                        dest.failure_rate > SUSPECT
                         and not host.probing
-                        and not host.calls
+                        and not host.calls_in_flight
                         and self.gate(dest, host, None) <= self.now
                     ):
                         host.probing = True
                         self.count_call(dest, host)
                         self.actions.append(Probe(host.name, self.now + PROBE_TIME))
 
-    def is_sick(self, host: Host, now: int) -> bool:
+    def is_sick(self, host: Endpoint, now: int) -> bool:
         """A worse choice than others for now."""
-        return host.bad > SUSPECT and host.retry_at > now
+        return host.failure_rate > SUSPECT and host.retry_at > now
 
     def cluster(self, now: int) -> tuple[int, int]:
         """The endpoints that the list names, and how many of them are avoided: those that drain, that are the
         worse choice, or whose destination is in an outage."""
         return len(self.hosts), sum(
-            not host.usable or dest.out or self.is_sick(host, now) for dest, host in self.hosts.values()
+            not host.available or dest.in_outage or self.is_sick(host, now)
+            for dest, host in self.hosts.values()
         )
 
     def backlog(self, most: int) -> list[str]:
@@ -1054,12 +1116,15 @@
         lines = []
         for number in sorted(self.waiting, key=lambda number: -len(self.waiting[number]))[:most]:
             for dest in self.routes.get(number, ()):
-                pause = max(dest.wait_until, dest.rest_until, dest.next_call, self.now) - self.now
+                pause = (
+                    max(dest.retry_after_until, dest.backoff_until, dest.next_call_at, self.now) - self.now
+                )
                 lines.append(
                     f"dest={number} waiting={len(self.waiting[number])} out={len(dest.calls)}"
-                    f" most={self.most_calls(dest)} ceiling={dest.ceiling or 0:.2f}/s"
+                    f" most={self.most_calls(dest)} ceiling={dest.rate_limit or 0:.2f}/s"
                     f" part={self.slow_start.part(dest):.2f}/s"
-                    f" listed={dest.listed:.2f}/s mean={dest.mean / SECOND:.3f}s bad={dest.bad:.2f}"
+                    f" listed={dest.listed_rate:.2f}/s mean={dest.mean_response_time / SECOND:.3f}s"
+                    f" bad={dest.failure_rate:.2f}"
                     f" pause={pause / SECOND:.2f}s cold={self.slow_start.is_on(dest, self.now)}"
                 )
         return lines
--- a/starlingwick/health_record.py
+++ b/starlingwick/health_record.py
@@ -9,33 +9,41 @@
 
 def state_of(dest: Destination, slow_start: SlowStart, now: int) -> HealthState:
     """What calls have shown of the destination by ``now``."""
-    if dest.out:
-        return HealthState.OUT
+    if dest.in_outage:
+        return HealthState.OUTAGE
     if slow_start.is_on(dest, now):
         return HealthState.RECOVERING
-    return HealthState.WELL if dest.bad_from is None else HealthState.SUSPECT
+    return HealthState.HEALTHY if dest.unhealthy_since is None else HealthState.SUSPECT
 
 
 def record_of(dest: Destination) -> HealthRecord:
     """What is to outlast the process. The destination has at least one endpoint."""
     return HealthRecord(
-        dest=dest.number,
-        host=dest.hosts[0].name,
-        bad=dest.bad,
-        out=dest.out,
-        bad_from=dest.bad_from,
-        bad_at=dest.bad_at,
-        failed_at=dest.failed_at,
-        ramp_from=dest.ramp_from,
-        warm_at=dest.warm_at,
-        unproved=dest.unproved,
-        served_before=dest.served_before,
+        destination=dest.number,
+        endpoint=dest.endpoints[0].name,
+        failure_rate=dest.failure_rate,
+        in_outage=dest.in_outage,
+        unhealthy_since=dest.unhealthy_since,
+        last_bad_outcome_at=dest.last_bad_outcome_at,
+        last_failure_at=dest.last_failure_at,
+        slow_start_began_at=dest.slow_start_began_at,
+        slow_start_ends_at=dest.slow_start_ends_at,
+        unconfirmed=dest.unconfirmed,
+        rate_before_outage=dest.rate_before_outage,
     )
 
 
 def restore(dest: Destination, record: HealthRecord) -> None:
     """Go on where the process that left the record was."""
-    dest.bad, dest.out = record.bad, record.out
-    dest.bad_from, dest.bad_at, dest.failed_at = record.bad_from, record.bad_at, record.failed_at
-    dest.ramp_from, dest.warm_at, dest.unproved = record.ramp_from, record.warm_at, record.unproved
-    dest.served_before = record.served_before
+    dest.failure_rate, dest.in_outage = record.failure_rate, record.in_outage
+    dest.unhealthy_since, dest.last_bad_outcome_at, dest.last_failure_at = (
+        record.unhealthy_since,
+        record.last_bad_outcome_at,
+        record.last_failure_at,
+    )
+    dest.slow_start_began_at, dest.slow_start_ends_at, dest.unconfirmed = (
+        record.slow_start_began_at,
+        record.slow_start_ends_at,
+        record.unconfirmed,
+    )
+    dest.rate_before_outage = record.rate_before_outage
--- a/starlingwick/interface.py
+++ b/starlingwick/interface.py
@@ -1,6 +1,6 @@
-"""What a :class:`~starlingwick.control.Pacer` is told and what it answers: settings, events, actions.
+"""The input and output types of :class:`~starlingwick.control.Pacer`: settings, events and actions.
 
-Times are integer nanoseconds. Nothing here decides anything.
+Times are integer nanoseconds. This module contains no decisions.
 """
 
 from __future__ import annotations
@@ -10,38 +10,38 @@
 from typing import Any
 
 
-class Repeat(Enum):
-    """What a second attempt at a message may do."""
+class Idempotency(Enum):
+    """Whether a message may be sent again after an attempt that may have been executed."""
 
     SAFE = "retryable"
     KEYED = "dedup"
     UNSAFE = "fragile"
 
 
-class Scope(Enum):
-    """Which hosts of a destination recognise a repeated key."""
+class KeyScope(Enum):
+    """Which endpoints of a destination recognise a repeated idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
 
-class Decay(Enum):
-    """How worth falls once the aim has passed."""
+class ValueDecay(Enum):
+    """How the value of a message falls once its target latency has passed."""
 
-    EVEN = "even"
-    BY_HALF = "by_half"
+    LINEAR = "even"
+    HALVING = "by_half"
 
 
-class Discovery(Enum):
-    """How changes of the host list reach an instance."""
+class DiscoveryMode(Enum):
+    """How changes of the endpoint list reach an instance."""
 
     AUTOMATIC = "automatic"
     SUBSCRIBE = "subscribe"
 
 
 class Status(IntEnum):
-    """How an attempt or a probe ended."""
+    """Outcome of an attempt or a probe."""
 
     OK = 10
     ERROR = 20
@@ -51,418 +51,447 @@
     RESET = 60
     CANCELLED = 70
     MOOT = 80
-    ABANDONED = 90  # held back at the last instant, before its first byte: it never ran
+    ABANDONED = 90  # stopped before its first byte was written: never executed
 
 
 class Availability(Enum):
-    """What the list says of a host."""
+    """State of an endpoint in the endpoint list."""
 
     RUNNING = "Running"
     STOPPING = "Stopping"
     DELETED = "Deleted"
 
 
-class ListScope(Enum):
-    """What a roster change holds."""
+class UpdateScope(Enum):
+    """What an endpoint update contains."""
 
-    CHANGES = "D"
-    WHOLE = "F"
+    DELTA = "D"
+    SNAPSHOT = "F"
     CACHED = "C"
     FAILED = "X"
 
 
-def _need(ok: bool, field: str, what: str) -> None:
+def _require(ok: bool, field: str, what: str) -> None:
     if not ok:
         raise ValueError(f"{field}: {what}")
 
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """One class of message."""
+    """Settings of one message class."""
 
-    aim: int
+    target_latency: int
     deadline: int
-    worth: float
-    late_worth: float
-    repeat: Repeat
-    key_scope: Scope
-    repeat_window: int
-    in_turn: bool
+    value: float
+    late_value: float
+    idempotency: Idempotency
+    key_scope: KeyScope
+    deduplication_window: int
+    ordered: bool
 
     def __post_init__(self) -> None:
-        _need(self.aim > 0, "classes[].aim", "must be above 0")
-        _need(self.deadline >= self.aim, "classes[].deadline", "must not be under the aim")
-        _need(self.worth >= 0, "classes[].worth", "must not be negative")
-        _need(0 <= self.late_worth <= 1, "classes[].late_worth", "must lie in 0 to 1")
-        _need(self.repeat_window >= 0, "classes[].repeat_window", "must not be negative")
+        _require(self.target_latency > 0, "classes[].aim", "must be above 0")
+        _require(self.deadline >= self.target_latency, "classes[].deadline", "must not be less than the aim")
+        _require(self.value >= 0, "classes[].worth", "must not be negative")
+        _require(0 <= self.late_value <= 1, "classes[].lateWorth", "must lie in 0 to 1")
+        _require(self.deduplication_window >= 0, "classes[].repeatWindow", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """One kind of destination."""
+class DestinationKind:
+    """Settings of one kind of destination."""
 
-    apart: bool
-    per_call: int
+    separate_routes: bool
+    max_batch_size: int
 
     def __post_init__(self) -> None:
-        _need(self.per_call >= 1, "kinds[].per_call", "must be at least 1")
+        _require(self.max_batch_size >= 1, "familyInfo.perCall", "must be at least 1")
+
+
+# Fields of Rules that must not be negative, with the keys of the settings that they are read from.
+NON_NEGATIVE_RULES = {
+    "answer_slack": "answerSlack",
+    "discovery_interval": "askEvery",
+    "drain_grace": "drainGrace",
+    "slow_start_duration": "rampTime",
+    "ordering_gap": "turnGap",
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules."""
+    """Numeric parameters of the pacing rules."""
 
     answer_slack: int
-    ask_every: int
+    discovery_interval: int
     drain_grace: int
-    fall: int
-    fall_multiple: float
-    ramp_time: int
-    start_capacity: float
-    turn_gap: int
+    overload_window: int
+    overload_multiple: float
+    slow_start_duration: int
+    slow_start_initial_share: float
+    ordering_gap: int
 
     def __post_init__(self) -> None:
-        for field in ("answer_slack", "ask_every", "drain_grace", "ramp_time", "turn_gap"):
-            _need(getattr(self, field) >= 0, f"rules.{field}", "must not be negative")
-        _need(self.fall > 0, "rules.fall", "must be above 0")
-        _need(self.fall_multiple > 0, "rules.fall_multiple", "must be above 0")
-        _need(0 < self.start_capacity <= 1, "rules.start_capacity", "must lie in 0 to 1")
+        for field, key in NON_NEGATIVE_RULES.items():
+            _require(getattr(self, field) >= 0, f"rules.{key}", "must not be negative")
+        _require(self.overload_window > 0, "rules.fall", "must be above 0")
+        _require(self.overload_multiple > 0, "rules.fallMultiple", "must be above 0")
+        _require(0 < self.slow_start_initial_share <= 1, "rules.startCapacity", "must lie in 0 to 1")
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """Capabilities and limits of the deployment."""
 
     cancel: bool
     probes: bool
     peers: bool
-    second_copies: bool
+    hedging: bool
     retry_after: bool
-    most_held: int
-    most_tries: int
+    max_held: int
+    max_attempts: int
     max_retry_after: int
     connect_timeout: int
-    conn_idle: int
+    connection_idle_timeout: int
 
     def __post_init__(self) -> None:
-        _need(self.most_held >= 1, "limits.most_held", "must be at least 1")
-        _need(self.most_tries >= 1, "limits.most_tries", "must be at least 1")
+        _require(self.max_held >= 1, "limits.mostHeld", "must be at least 1")
+        _require(self.max_attempts >= 1, "limits.mostTries", "must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start."""
+    """All settings that an instance receives when it starts."""
 
     relays: int
-    slots: int
+    max_calls: int
     tick: int
     zone: int
-    discovery: Discovery
-    listed_rates: bool
-    decay: Decay
+    discovery: DiscoveryMode
+    uses_listed_rates: bool
+    value_decay: ValueDecay
     classes: tuple[MessageClass, ...]
-    kinds: tuple[Kind, ...]
-    tenant_rates: tuple[float, ...]
-    over_share_worth: float
+    kinds: tuple[DestinationKind, ...]
+    tenant_quotas: tuple[float, ...]
+    over_quota_value: float
     zone_fees: tuple[float, ...]
-    refused_price: float
+    throttled_price: float
     prices: dict[str, float]
     rules: Rules
     limits: Limits
 
     def __post_init__(self) -> None:
-        _need(self.relays >= 1, "relays", "must be at least 1")
-        _need(self.slots >= 1, "slots", "must be at least 1")
-        _need(self.tick >= 0, "tick", "must not be negative")
-        _need(bool(self.classes), "classes", "must not be empty")
-        _need(0 <= self.over_share_worth <= 1, "over_share_worth", "must lie in 0 to 1")
-        _need(all(r >= 0 for r in self.tenant_rates), "tenant_rates", "must not be negative")
+        _require(self.relays >= 1, "relays", "must be at least 1")
+        _require(self.max_calls >= 1, "familyInfo.callsOut", "must be at least 1")
+        _require(self.tick >= 0, "tick", "must not be negative")
+        _require(bool(self.classes), "classes", "must not be empty")
+        _require(0 <= self.over_quota_value <= 1, "overShareWorth", "must lie in 0 to 1")
+        _require(all(r >= 0 for r in self.tenant_quotas), "tenants[].quotaPerS", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
-class HostEntry:
-    """A line of the host list."""
+class EndpointEntry:
+    """One entry of the endpoint list."""
 
-    host: str
+    endpoint: str
     zone: int
     kind: int
-    dest: int
+    destination: int
     availability: Availability
     rate: float
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """What a destination told of its limit: the share that is left, and calls a second (0: no limit)."""
+class LoadReport:
+    """A destination's report of its own limit: the share that remains, and the limit in calls a second
+    (0: no limit)."""
 
-    left: float
+    remaining: float
     limit: float
 
 
 @dataclass(frozen=True, slots=True)
-class Roster:
-    """News of the host list."""
+class EndpointUpdate:
+    """A snapshot or a delta of the endpoint list, or the loss of the subscription."""
 
-    scope: ListScope
-    entries: tuple[HostEntry, ...]
+    scope: UpdateScope
+    entries: tuple[EndpointEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Introduced:
-    """A destination is used from now on: these are its hosts. A host of it need not be told one by one in a
-    roster of changes before that, and is not named in a whole one."""
+class DestinationLoaded:
+    """A destination is in use from now on; ``entries`` are its endpoints. Earlier deltas need not have
+    contained them, and an earlier snapshot did not."""
 
-    dest: int
-    entries: tuple[HostEntry, ...]
+    destination: int
+    entries: tuple[EndpointEntry, ...]
 
 
 class HealthState(Enum):
-    """What calls to a destination have shown of it."""
+    """Health of a destination as its calls have shown it."""
 
-    WELL = "well"
-    SUSPECT = "suspect"  # a call failed, and none was answered well since
-    OUT = "out"  # most calls fail: one trial at a time
+    HEALTHY = "well"
+    SUSPECT = "suspect"  # a call failed, and no call has succeeded since
+    OUTAGE = "out"  # most calls fail: one trial call at a time
     RECOVERING = "recovering"  # slow start
 
 
 @dataclass(frozen=True, slots=True)
 class HealthRecord:
-    """What outlasts the process of a destination that is in trouble or recovers. Times are of the machine's
-    monotonic clock, nanoseconds; None where there was none. ``bad_from`` None: it is well."""
+    """The health of an unhealthy or recovering destination, kept across processes. Times are nanoseconds of
+    the machine's monotonic clock, or None. The destination is healthy if ``unhealthy_since`` is None."""
 
-    dest: int
-    host: str  # one endpoint of it: of the route, where routes are apart
-    bad: float  # share of bad outcomes, newest weigh most
-    out: bool
-    bad_from: int | None
-    bad_at: int
-    failed_at: int
-    ramp_from: int | None
-    warm_at: int
-    unproved: bool
-    served_before: float  # calls a second
+    destination: int
+    endpoint: str  # one of its endpoints; identifies the route where routes are separate
+    failure_rate: float  # share of bad outcomes, weighted towards the newest
+    in_outage: bool
+    unhealthy_since: int | None
+    last_bad_outcome_at: int
+    last_failure_at: int
+    slow_start_began_at: int | None
+    slow_start_ends_at: int
+    unconfirmed: bool
+    rate_before_outage: float  # calls a second
 
 
 @dataclass(frozen=True, slots=True)
 class HealthRestored:
-    """What an earlier life of this relay had seen of destinations that are used from now on."""
+    """Health records of a previous process, for destinations that are in use from now on."""
 
     records: tuple[HealthRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
-    """A new message."""
+class MessageArrived:
+    """A client has sent a new message."""
 
-    call: str
+    message_id: str
     tenant: int
-    klass: int
-    dest: int
+    class_index: int
+    destination: int
     key: str | None
-    patience: int
-    storable: bool = True  # whether the relay's journal has room for it
+    time_left: int
+    storable: bool = True  # whether the journal has room for it
 
 
 @dataclass(frozen=True, slots=True)
-class Recovered:
-    """A message that an earlier life of this relay took on and did not end.
+class MessageRecovered:
+    """A message that a previous process accepted and did not finish.
 
-    ``ran_ago`` is how long ago its first attempt that may have run was sent, None if none may have;
-    ``ran_zone`` is that attempt's zone.
+    ``possible_run_age`` is the time since its first attempt that may have been executed, or None if there was
+    no such attempt; ``possible_run_zone`` is that attempt's zone.
     """
 
-    call: str
-    klass: int
-    dest: int
+    message_id: str
+    class_index: int
+    destination: int
     key: str | None
-    patience: int  # negative: its time was up while the relay was down
+    time_left: int  # negative if its deadline passed while the relay was down
     attempts: int
-    ran_ago: int | None
-    ran_zone: int
+    possible_run_age: int | None
+    possible_run_zone: int
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
-    """What another process of this relay knew when it let go of the right to send: ``Pacer.learned()``."""
+class PredecessorState:
+    """The state that the predecessor handed over when it released the right to send.
+
+    ``facts`` is the result of its ``Pacer.learned()``.
+    """
 
     facts: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
-class Overheard:
-    """How a call ended that another process of this relay had out. Its message is that process's."""
+class PredecessorCallEnded:
+    """The outcome of a call that the predecessor had in flight. Its message belongs to the predecessor."""
 
-    host: str
+    endpoint: str
     status: Status
     sent_at: int
-    cost: int
-    wait: int
+    duration: int
+    retry_after: int
     stale: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A call's host has told a wait, in an answer that may not have come whole yet."""
+class RetryAfter:
+    """An endpoint has asked for a wait, in a response that may not be complete yet."""
 
-    call: str
-    host: str
+    message_id: str
+    endpoint: str
     wait: int
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
-    """So many calls are out in another process of this relay: they hold slots."""
+class PredecessorCalls:
+    """The number of calls that the predecessor has in flight. They count against ``Settings.max_calls``."""
 
     calls: int
 
 
 @dataclass(frozen=True, slots=True)
-class Stopping:
-    """The process will end then, and cut off what is out. Another may send from ``back_at`` on."""
+class ShutdownStarted:
+    """The process will exit at ``at`` and cut off calls in flight. The next may send from ``resumes_at``."""
 
     at: int
-    back_at: int
+    resumes_at: int
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
-    """Nobody wants this message any more."""
+class MessageWithdrawn:
+    """The message is no longer needed."""
 
-    call: str
+    message_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """How one attempt ended. ``wait`` is the told wait in nanoseconds, 0 if none; ``stale`` says of a reset
-    that the connection had been closed while it stood idle."""
+class AttemptEnded:
+    """The outcome of one attempt. ``retry_after`` is 0 if the endpoint asked for no wait; ``stale`` marks a
+    reset of a connection that was closed while it was idle."""
 
-    call: str
+    message_id: str
     attempt: int
-    host: str
+    endpoint: str
     status: Status
-    cost: int
+    duration: int
     finished: bool
-    wait: int
+    retry_after: int
     no_slot: bool
-    report: Report | None
+    report: LoadReport | None
     stale: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
-    """How a probe ended."""
+class ProbeEnded:
+    """The outcome of a probe."""
 
-    host: str
+    endpoint: str
     status: Status
-    cost: int
-    report: Report | None
+    duration: int
+    report: LoadReport | None
 
 
 @dataclass(frozen=True, slots=True)
-class Alarm:
-    """A timer came due."""
+class TimerExpired:
+    """A timer set by ``SetTimer`` has expired."""
 
     token: int
 
 
 Event = (
-    Roster
-    | Introduced
-    | Arrived
-    | Recovered
-    | Learned
+    EndpointUpdate
+    | DestinationLoaded
+    | MessageArrived
+    | MessageRecovered
+    | PredecessorState
     | HealthRestored
-    | Overheard
-    | Told
-    | Elsewhere
-    | Stopping
-    | Withdrawn
-    | Verdict
-    | Probed
-    | Alarm
+    | PredecessorCallEnded
+    | RetryAfter
+    | PredecessorCalls
+    | ShutdownStarted
+    | MessageWithdrawn
+    | AttemptEnded
+    | ProbeEnded
+    | TimerExpired
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Call a host with a message. Sends to one host in one answer share a call as far as its kind allows."""
+    """Send a message to an endpoint.
 
-    call: str
-    host: str
-    stop_at: int
+    Sends to one endpoint in one result of ``handle`` share a call, up to the kind's ``max_batch_size``.
+    """
+
+    message_id: str
+    endpoint: str
+    deadline: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
-    """End a message undelivered; the client may try again."""
+class Reject:
+    """Return a message to its client undelivered; the client may send it again."""
 
-    call: str
-    hold_off: int
+    message_id: str
+    retry_after: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """End a message, with no promise about its effect."""
+    """End a message without delivery. It may have been executed."""
 
-    call: str
+    message_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Stop waiting for an attempt."""
 
-    call: str
+    message_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check a host."""
+    """Send a health check to an endpoint."""
 
-    host: str
-    stop_at: int
+    endpoint: str
+    deadline: int
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
-    """Shut idle connections to a host."""
+class CloseIdleConnections:
+    """Close the idle connections to an endpoint."""
 
-    host: str
+    endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
-class Released:
-    """Nothing is known of that destination any more that outweighs the room it takes: it is to be introduced
-    again before it is used. Only for destinations that were introduced."""
+class EvictDestination:
+    """Drop a destination from memory. It must be loaded again before its next use. Only for destinations that
+    ``DestinationLoaded`` has loaded."""
 
-    dest: int
+    destination: int
 
 
 @dataclass(frozen=True, slots=True)
-class KeepHealth:
-    """Let these outlast the process: the next life is bound by what this one has seen."""
+class PersistHealth:
+    """Persist health records, so that the next process continues from what this one has seen."""
 
     records: tuple[HealthRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    """Ask for an alarm after this long."""
+class SetTimer:
+    """Request a ``TimerExpired`` event after a delay."""
 
-    after: int
+    delay: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on."""
+    """Subscribe to changes of the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """Write a line to the log for the operators."""
 
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Close | Released | KeepHealth | Wake | Subscribe | Log
+Action = (
+    Send
+    | Reject
+    | Fail
+    | Cancel
+    | Probe
+    | CloseIdleConnections
+    | EvictDestination
+    | PersistHealth
+    | SetTimer
+    | Subscribe
+    | Log
+)
--- a/starlingwick/listed_rate.py
+++ b/starlingwick/listed_rate.py
@@ -9,10 +9,10 @@
 
 def call_interval(dest: Destination, relays: int) -> int:
     """The time in which one relay's part of a known limit is one call, nanoseconds; 0: no limit is known."""
-    return round(SECOND * relays / dest.listed) if dest.listed else 0
+    return round(SECOND * relays / dest.listed_rate) if dest.listed_rate else 0
 
 
 def longest_limit_wait(dest: Destination) -> int:
     """The longest wait that a limit would tell, nanoseconds: to the end of a span of a second, or until a
     call is due where it takes few. A longer one says that the destination is shut."""
-    return max(LIMIT_SPAN, round(2 * SECOND / dest.listed) if dest.listed else 0)
+    return max(LIMIT_SPAN, round(2 * SECOND / dest.listed_rate) if dest.listed_rate else 0)
--- a/starlingwick/slow_start.py
+++ b/starlingwick/slow_start.py
@@ -29,68 +29,73 @@
 
     def is_on(self, dest: Destination, now: int) -> bool:
         """Whether the destination may still be cold after an outage."""
-        return dest.ramp_from is not None and now < dest.warm_at
+        return dest.slow_start_began_at is not None and now < dest.slow_start_ends_at
 
     def binds(self, dest: Destination, waiting: int, now: int) -> bool:
         """Whether calls are spaced by the budget: in slow start, and behind it, for as long again at most,
-        while more waits than the warm destination may get from this relay within ``fall``. All relays would
-        let go of that at once, and some take it for warm before it is."""
+        while more waits than the warm destination may get from this relay within ``overload_window``. All
+        relays would let go of that at once, and some take it for warm before it is."""
         if self.is_on(dest, now):
             return True
-        if dest.ramp_from is None or self._is_over(dest, now):
+        if dest.slow_start_began_at is None or self._is_over(dest, now):
             return False
-        return waiting > 1 + self.rules.fall_multiple * self.part(dest) * self.rules.fall / SECOND
+        return (
+            waiting > 1 + self.rules.overload_multiple * self.part(dest) * self.rules.overload_window / SECOND
+        )
 
     def may_begin(self, dest: Destination, now: int) -> bool:
-        """Whether an outage may lie behind this good answer: trouble, and no other good answer for ``fall``
-        before. A failure since the last one will do; of refusals, which a limit makes too, where this relay
-        sees so little that it sees no more of an outage than one bad outcome."""
-        answered = dest.served[-2] if len(dest.served) > 1 else 0
+        """Whether an outage may lie behind this good answer: trouble, and no other good answer for
+        ``overload_window`` before. A failure since the last one will do; of refusals, which a limit makes
+        too, where this relay sees so little that it sees no more of an outage than one bad outcome."""
+        answered = dest.success_times[-2] if len(dest.success_times) > 1 else 0
         return (
-            dest.bad_from is not None
-            and dest.bad_at > (dest.ramp_from or 0)
+            dest.unhealthy_since is not None
+            and dest.last_bad_outcome_at > (dest.slow_start_began_at or 0)
             and not self.is_on(dest, now)
-            and now - answered > self.rules.fall
-            and (dest.failed_at > answered or self.sees_little(dest))
+            and now - answered > self.rules.overload_window
+            and (dest.last_failure_at > answered or self.sees_little(dest))
         )
 
     def sees_little(self, dest: Destination) -> bool:
-        """Whether this relay's part of what a destination takes is under a call in ``fall``, or unknown."""
-        return not 0 < call_interval(dest, self.relays) <= self.rules.fall
+        """Whether this relay's part of what a destination takes is under a call in ``overload_window``, or
+        unknown."""
+        return not 0 < call_interval(dest, self.relays) <= self.rules.overload_window
 
     def list_rate(self, dest: Destination, rate: float) -> None:
         """The list names another rate, calls a second. A destination that takes less from now on will not be
         served what it was before the trouble."""
-        if 0 < rate < dest.listed and not dest.reported:
-            left = rate / dest.listed
-            dest.served_before *= left
-            dest.served[:] = [
-                at for n, at in enumerate(dest.served) if math.floor((n + 1) * left) > math.floor(n * left)
+        if 0 < rate < dest.listed_rate and not dest.rate_is_reported:
+            left = rate / dest.listed_rate
+            dest.rate_before_outage *= left
+            dest.success_times[:] = [
+                at
+                for n, at in enumerate(dest.success_times)
+                if math.floor((n + 1) * left) > math.floor(n * left)
             ]
-        dest.listed, dest.reported = rate, False
+        dest.listed_rate, dest.rate_is_reported = rate, False
 
     def begin(self, dest: Destination, now: int) -> None:
         """A good answer behind an outage. Nobody saw the destination come back: half of the time since the
         last failure, in the mean."""
-        dest.ramp_from = now - (now - dest.bad_at) // 2
-        dest.warm_at = now + self.rules.ramp_time
-        dest.unproved = False
+        dest.slow_start_began_at = now - (now - dest.last_bad_outcome_at) // 2
+        dest.slow_start_ends_at = now + self.rules.slow_start_duration
+        dest.unconfirmed = False
 
     def failed(self, dest: Destination, now: int) -> bool:
         """A call failed in slow start. Whether slow start begins anew: a destination that fails most calls
         answers some of them well before it is back."""
         if not self.is_failing(dest, now):
             return False
-        dest.ramp_from = now
-        dest.warm_at = now + self.rules.ramp_time
-        dest.unproved = True
+        dest.slow_start_began_at = now
+        dest.slow_start_ends_at = now + self.rules.slow_start_duration
+        dest.unconfirmed = True
         return True
 
     def is_failing(self, dest: Destination, now: int) -> bool:
-        """Whether more than a share of the latest outcomes, over twice ``fall``, were failures."""
-        since = now - 2 * self.rules.fall
-        bad = len(dest.failures) - bisect_right(dest.failures, since)
-        good = len(dest.served) - bisect_right(dest.served, since)
+        """Whether more than a share of the latest outcomes, over twice ``overload_window``, were failures."""
+        since = now - 2 * self.rules.overload_window
+        bad = len(dest.failure_times) - bisect_right(dest.failure_times, since)
+        good = len(dest.success_times) - bisect_right(dest.success_times, since)
         return bad > FAILING_SHARE * (bad + good)
 
     def part(self, dest: Destination) -> float:
@@ -98,15 +103,15 @@
         before the trouble, or an even part of the listed rate where that is more. Listed rates may be half
         too high, and over uneven traffic the larger of the two adds up to more than the destination takes:
         what was served bounds it. Over a fleet that adds up to no more than the destination has answered."""
-        even = dest.listed / self.relays
-        unseen = max(UNSEEN_CALLS * SECOND / max(self.rules.ramp_time, SECOND), UNSEEN_SHARE * even)
-        return max(dest.served_before, min(HEADROOM * (dest.served_before + unseen), even))
+        even = dest.listed_rate / self.relays
+        unseen = max(UNSEEN_CALLS * SECOND / max(self.rules.slow_start_duration, SECOND), UNSEEN_SHARE * even)
+        return max(dest.rate_before_outage, min(HEADROOM * (dest.rate_before_outage + unseen), even))
 
     def size_up(self, dest: Destination, served: float, watched: int) -> None:
         """At the first sign of trouble: what was answered well until now, calls a second. For the time that a
         young relay has not ``watched`` of a ramp's, in nanoseconds, it takes an even part to be its own."""
-        known = min(1.0, watched / max(1, self.rules.ramp_time))
-        dest.served_before = known * served + (1 - known) * dest.listed / self.relays / HEADROOM
+        known = min(1.0, watched / max(1, self.rules.slow_start_duration))
+        dest.rate_before_outage = known * served + (1 - known) * dest.listed_rate / self.relays / HEADROOM
 
     def time_for(self, dest: Destination, calls: float, start: int, now: int) -> int:
         """When this relay's part of what a destination may get, in trouble or in slow start, has grown by so
@@ -114,18 +119,22 @@
         trouble's time (a ramp at least). Of unknown capacity, all relays together are taken to get a call a
         second."""
         rules = self.rules
-        lasted = max(rules.ramp_time, SECOND, dest.bad_at - (dest.bad_from or dest.bad_at))
+        lasted = max(
+            rules.slow_start_duration,
+            SECOND,
+            dest.last_bad_outcome_at - (dest.unhealthy_since or dest.last_bad_outcome_at),
+        )
         part = max(self.part(dest) / SECOND, 1 / lasted, 1 / SECOND / self.relays)
-        pace = rules.fall_multiple * part
-        if dest.ramp_from is None or self._is_over(dest, now):
-            return start + round(calls / (TRIAL_SHARE * pace * rules.start_capacity))
-        grows = pace * (1 - rules.start_capacity) / max(1, rules.ramp_time)
-        first = pace * rules.start_capacity + grows * max(0, start - dest.ramp_from)
+        pace = rules.overload_multiple * part
+        if dest.slow_start_began_at is None or self._is_over(dest, now):
+            return start + round(calls / (TRIAL_SHARE * pace * rules.slow_start_initial_share))
+        grows = pace * (1 - rules.slow_start_initial_share) / max(1, rules.slow_start_duration)
+        first = pace * rules.slow_start_initial_share + grows * max(0, start - dest.slow_start_began_at)
         if first >= pace:
             return start + round(calls / pace)
         return start + round(2 * calls / (first + math.sqrt(first * first + 2 * grows * calls)))
 
     def _is_over(self, dest: Destination, now: int) -> bool:
         """Whether the latest slow start paces nothing any more: long past, or behind it there was trouble."""
-        troubled_since = dest.bad_at > dest.warm_at
-        return now >= dest.warm_at + (0 if troubled_since else self.rules.ramp_time)
+        troubled_since = dest.last_bad_outcome_at > dest.slow_start_ends_at
+        return now >= dest.slow_start_ends_at + (0 if troubled_since else self.rules.slow_start_duration)
--- a/starlingwick/state.py
+++ b/starlingwick/state.py
@@ -1,4 +1,4 @@
-"""What the decisions keep in memory: endpoints, destinations, calls that are out, messages that are held."""
+"""In-memory state of the pacer: endpoints, destinations, calls in flight and held messages."""
 
 from __future__ import annotations
 
@@ -7,98 +7,144 @@
 from starlingwick.interface import MessageClass
 
 SECOND = 1_000_000_000
-NEVER = 1 << 62  # "only an event can change this"
+NEVER = 1 << 62  # a time that no timer reaches: only an event can change the condition
+
+# Attributes of Destination that a process hands over to its successor, with their names in the hand-over.
+HANDOVER_NAMES = {
+    "listed_rate": "listed",
+    "rate_is_reported": "reported",
+    "rate_limit": "ceiling",
+    "rate_limit_changed_at": "ceiling_at",
+    "rate_decreased_at": "cut_at",
+    "rate_before_decrease": "cut_from",
+    "next_call_at": "next_call",
+    "mean_response_time": "mean",
+    "retry_after_until": "wait_until",
+    "backoff": "rest",
+    "backoff_until": "rest_until",
+    "backoff_changed_at": "pause_at",
+    "throttled_since": "refused_from",
+    "failure_rate": "bad",
+    "unhealthy_since": "bad_from",
+    "last_bad_outcome_at": "bad_at",
+    "last_failure_at": "failed_at",
+    "in_outage": "out",
+    "slow_start_began_at": "ramp_from",
+    "unconfirmed": "unproved",
+    "slow_start_ends_at": "warm_at",
+    "rate_before_outage": "served_before",
+    "next_trial_at": "next_at",
+    "throttle_times": "refusals",
+    "send_times": "sent",
+    "arrival_times": "arrived",
+    "success_times": "served",
+    "failure_times": "failures",
+}
+# Those of them that hold lists of times.
+HANDOVER_TIME_LISTS = ("throttle_times", "send_times", "arrival_times", "success_times", "failure_times")
+# Attributes of Endpoint that are handed over, as a list of values in this order.
+HANDOVER_ENDPOINT_ATTRIBUTES = (
+    "last_sent_at",
+    "last_send_interval",
+    "last_success_sent_at",
+    "failure_rate",
+    "retry_at",
+)
 
 
 @dataclass(slots=True, eq=False)
-class Host:
-    """An endpoint of a destination: its drain, its calls out and its health."""
+class Endpoint:
+    """One endpoint of a destination: availability, calls in flight and health."""
 
     name: str
     zone: int
     kind: int = 0
-    rate: float = 0.0  # as listed
-    usable: bool = True
-    calls: int = 0
+    listed_rate: float = 0.0  # calls a second, from the endpoint list
+    available: bool = True
+    calls_in_flight: int = 0
     probing: bool = False
-    last_sent: int = 0
-    gap: int = NEVER  # between the last two sends
-    last_ok_sent: int = -1  # when the latest-sent call that was answered well went out
-    bad: float = 0.0  # share of bad outcomes, newest weigh most
-    retry_at: int = 0  # when a suspect one is as good a choice as others again
+    last_sent_at: int = 0
+    last_send_interval: int = NEVER  # between the last two sends
+    last_success_sent_at: int = -1  # send time of the newest call that succeeded
+    failure_rate: float = 0.0  # share of bad outcomes, weighted towards the newest
+    retry_at: int = 0  # until then other endpoints are preferred if this one is suspect
 
 
 @dataclass(slots=True, eq=False)
 class Destination:
-    """What is paced as one: a destination, or a route of its own where the kind is apart."""
+    """A unit of pacing: a destination, or one route of it where the kind has separate routes."""
 
     number: int
-    per_call: int
-    hosts: list[Host] = field(default_factory=list)
-    listed: float = 0.0  # calls a second it takes from all relays, as listed or reported; 0: unknown
-    reported: bool = False  # that rate is its own report of its limit, not the list's figure
-    ceiling: float | None = None  # calls a second of this relay
-    ceiling_at: int = 0  # when the ceiling last changed
-    cut_at: int = 0  # when it was last cut
-    cut_from: float = 0.0  # what it was cut from, calls a second
-    next_call: int = 0  # spacing under the ceiling
-    mean: float = 0.0  # response time
-    wait_until: int = 0  # told
-    rest: float = 0.0  # our own, after a call
-    rest_until: int = 0
-    pause_at: int = 0  # when it was last set
-    refused_from: int | None = None  # when the present run of refusals began
-    bad: float = 0.0  # share of bad outcomes at all its hosts, newest weigh most
-    bad_from: int | None = None  # first bad outcome since it was well
-    bad_at: int = 0  # the latest
-    failed_at: int = 0  # the latest failure, or refusal that no limit explains
-    out: bool = False  # half open: one trial at a time
-    ramp_from: int | None = None  # when it came back, in the mean
-    unproved: bool = False  # a failure began the ramp anew, and no good answer has come since
-    warm_at: int = 0  # the end of the ramp, if it came back as late as it can have
-    served_before: float = 0.0  # calls a second of this relay that were answered well before the trouble
-    next_at: int = 0  # trial while in trouble, spacing on the ramp
-    refusals: list[int] = field(default_factory=list)  # times, oldest first, as in the next three
-    sent: list[int] = field(default_factory=list)
-    arrived: list[int] = field(default_factory=list)
-    served: list[int] = field(default_factory=list)
-    failures: list[int] = field(default_factory=list)  # failed calls, and refusals that no limit explains
+    max_batch_size: int
+    endpoints: list[Endpoint] = field(default_factory=list)
+    listed_rate: float = 0.0  # calls a second from all relays, listed or reported; 0: unknown
+    rate_is_reported: bool = False  # listed_rate is the destination's own report, not the list's figure
+    rate_limit: float | None = None  # calls a second of this relay
+    rate_limit_changed_at: int = 0  # when the rate limit last changed
+    rate_decreased_at: int = 0  # when it was last decreased
+    rate_before_decrease: float = 0.0  # the rate limit before that, calls a second
+    next_call_at: int = 0  # spacing of calls under the rate limit
+    mean_response_time: float = 0.0
+    retry_after_until: int = 0  # the end of the wait that an endpoint asked for
+    backoff: float = 0.0  # this relay's own pause after a call, nanoseconds
+    backoff_until: int = 0
+    backoff_changed_at: int = 0  # when the backoff was last set
+    throttled_since: int | None = None  # when the current run of throttled calls began
+    failure_rate: float = 0.0  # share of bad outcomes at all its endpoints, weighted towards the newest
+    unhealthy_since: int | None = None  # the first bad outcome since it was healthy
+    last_bad_outcome_at: int = 0  # the latest bad outcome
+    last_failure_at: int = 0  # the latest failure, or throttled call that no limit explains
+    in_outage: bool = False  # half-open: one trial call at a time
+    slow_start_began_at: int | None = None  # the estimated time of its return
+    unconfirmed: bool = False  # a failure restarted slow start, and no call has succeeded since
+    slow_start_ends_at: int = 0  # the end of slow start if it returned as late as possible
+    rate_before_outage: float = 0.0  # successful calls a second of this relay before the outage
+    next_trial_at: int = 0  # the next trial call in an outage; spacing of calls in slow start
+    throttle_times: list[int] = field(default_factory=list)  # oldest first, as in all these lists
+    send_times: list[int] = field(default_factory=list)
+    arrival_times: list[int] = field(default_factory=list)
+    success_times: list[int] = field(default_factory=list)
+    failure_times: list[int] = field(
+        default_factory=list
+    )  # failed calls, and throttled ones that no limit explains
     calls: list[Call] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A call out: one slot, one fate, perhaps several messages."""
+    """A call in flight. It takes one slot and has one outcome, and may carry several messages."""
 
-    dest: Destination
-    host: Host
+    destination: Destination
+    endpoint: Endpoint
     sent_at: int
     messages: list[Message]
-    open: int = 0  # messages in it without an outcome
-    settled: bool = False  # its outcome has been taken in
-    blamed: bool = False  # counted against the host as overdue
+    unsettled_messages: int = 0  # messages without an outcome
+    outcome_recorded: bool = False  # the health of the destination reflects its outcome
+    counted_overdue: bool = False  # counted against the endpoint as overdue
 
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A message held: its attempts, whether one may have run, and its times."""
+    """A held message: its attempts, whether one may have been executed, and its times."""
 
-    name: str
-    klass: MessageClass
-    dest: int
+    message_id: str
+    message_class: MessageClass
+    destination: int
     key: str | None
-    worth: float
-    arrived: int
+    value: float
+    arrived_at: int
     deadline: int
     attempts: int = 0
-    abandoned: int = 0  # of these, those of which nothing was ever written
+    unsent_attempts: int = 0  # attempts of which no byte was written
     call: Call | None = None
     not_before: int = 0
-    ran_at: int | None = None  # when the first attempt that may have run was sent
-    ran_zone: int = 0
-    over: bool = False
-    owed: bool = False  # an earlier life took it on and never sent it: it gets a call before it is given up
+    possible_run_at: int | None = None  # send time of the first attempt that may have been executed
+    possible_run_zone: int = 0
+    finished: bool = False
+    unattempted: bool = (
+        False  # accepted by a previous process and never sent: it gets a call before it is given up
+    )
 
     @property
-    def aim_at(self) -> int:
-        return self.deadline - self.klass.deadline + self.klass.aim
+    def target_at(self) -> int:
+        return self.deadline - self.message_class.deadline + self.message_class.target_latency
--- a/starlingwick/wirehost.py
+++ b/starlingwick/wirehost.py
@@ -70,7 +70,7 @@
         raise WireError(f"facts: not JSON: {error}") from None
 
 
-def _report(fields: dict[str, str]) -> io.Report | None:
+def _report(fields: dict[str, str]) -> io.LoadReport | None:
     text = fields.get("metrics", "-")
     if text in ("", "-"):
         return None
@@ -83,88 +83,92 @@
             raise WireError(f"field 'metrics': '{part}' is not name:value") from None
     if "x0" not in values and "x1" not in values:
         return None
-    return io.Report(left=values.get("x0", 0.0), limit=values.get("x1", 0.0))
+    return io.LoadReport(remaining=values.get("x0", 0.0), limit=values.get("x1", 0.0))
 
 
-def _entry(fields: dict[str, str]) -> io.HostEntry:
+def _entry(fields: dict[str, str]) -> io.EndpointEntry:
     try:
         rate = float(fields.get("heft", "1"))
     except ValueError:
         raise WireError(f"field 'heft': '{fields['heft']}' is not a number") from None
-    return io.HostEntry(
-        host=_need(fields, "host"),
+    return io.EndpointEntry(
+        endpoint=_need(fields, "host"),
         zone=_int(fields, "locality", 0),
         kind=_int(fields, "classOfHost", 0),
-        dest=_int(fields, "belongsTo"),
+        destination=_int(fields, "belongsTo"),
         availability=_enum(io.Availability, "availability", _need(fields, "availability")),
         rate=rate,
     )
 
 
 def _arrived(f: dict[str, str]) -> io.Event:
-    return io.Arrived(
-        call=_need(f, "call"),
+    return io.MessageArrived(
+        message_id=_need(f, "call"),
         tenant=_int(f, "project", 0),
-        klass=_int(f, "priority", 0),
-        dest=_int(f, "dest"),
+        class_index=_int(f, "priority", 0),
+        destination=_int(f, "dest"),
         key=f.get("subject"),
-        patience=_int(f, "patienceLeft"),
+        time_left=_int(f, "patienceLeft"),
     )
 
 
 def _verdict(f: dict[str, str]) -> io.Event:
     status = _enum(io.Status, "status", _int(f, "status"))
     remark = _int(f, "remarkMs", 0)
-    return io.Verdict(
-        call=_need(f, "call"),
+    return io.AttemptEnded(
+        message_id=_need(f, "call"),
         attempt=_int(f, "roundNo", 0),
-        host=_need(f, "host"),
+        endpoint=_need(f, "host"),
         status=status,
-        cost=_int(f, "costTime", 0),
+        duration=_int(f, "costTime", 0),
         finished=_bool(f, "finished"),
-        wait=remark * MS if status is io.Status.FULL else 0,
+        retry_after=remark * MS if status is io.Status.FULL else 0,
         no_slot=status is io.Status.MOOT and remark == 1,
         report=_report(f),
     )
 
 
 def _probed(f: dict[str, str]) -> io.Event:
-    return io.Probed(
-        host=_need(f, "host"),
+    return io.ProbeEnded(
+        endpoint=_need(f, "host"),
         status=_enum(io.Status, "status", _int(f, "status")),
-        cost=_int(f, "costTime", 0),
+        duration=_int(f, "costTime", 0),
         report=_report(f),
     )
 
 
 EVENTS: dict[str, Callable[[dict[str, str]], io.Event]] = {
     "new_request": _arrived,
-    "withdrawn": lambda f: io.Withdrawn(_need(f, "call")),
+    "withdrawn": lambda f: io.MessageWithdrawn(_need(f, "call")),
     "verdict": _verdict,
     "probed": _probed,
-    "alarm": lambda f: io.Alarm(_int(f, "ctx", 0)),
+    "alarm": lambda f: io.TimerExpired(_int(f, "ctx", 0)),
 }
 
 
 def format_action(action: io.Action) -> str:
     """One reply line for an action."""
     match action:
-        case io.Send(call, host, stop_at):
-            return f"pass_on call={call} host={host} stopAt={stop_at}"
-        case io.Refuse(call, hold_off):
-            return f"reject call={call} holdOff={hold_off}" if hold_off else f"reject call={call}"
-        case io.Fail(call):
-            return f"finish_error call={call}"
-        case io.Cancel(call, attempt):
-            return f"stop_attempt call={call} roundNo={attempt}"
-        case io.Probe(host, _):
-            return f"health_check host={host}"
-        case io.Close(host):
-            return f"close host={host}"
-        case io.Released() | io.KeepHealth():
+        case io.Send(message_id, endpoint, deadline):
+            return f"pass_on call={message_id} host={endpoint} stopAt={deadline}"
+        case io.Reject(message_id, retry_after):
+            return (
+                f"reject call={message_id} holdOff={retry_after}"
+                if retry_after
+                else f"reject call={message_id}"
+            )
+        case io.Fail(message_id):
+            return f"finish_error call={message_id}"
+        case io.Cancel(message_id, attempt):
+            return f"stop_attempt call={message_id} roundNo={attempt}"
+        case io.Probe(endpoint, _):
+            return f"health_check host={endpoint}"
+        case io.CloseIdleConnections(endpoint):
+            return f"close host={endpoint}"
+        case io.EvictDestination() | io.PersistHealth():
             raise AssertionError(f"the wire has no {action}")
-        case io.Wake(after, token):
-            return f"defer wait={after} ctx={token}"
+        case io.SetTimer(delay, token):
+            return f"defer wait={delay} ctx={token}"
         case io.Subscribe():
             return "keep_informed on=1"
         case io.Log(text):
@@ -179,7 +183,7 @@
         self.sink = sink
         self.line_no = 0
         self.pacers: dict[int, Pacer] = {}
-        self.catalogs: dict[int, tuple[io.HostEntry, ...]] = {}
+        self.catalogs: dict[int, tuple[io.EndpointEntry, ...]] = {}
 
     def _line(self) -> str | None:
         line = self.source.readline()
@@ -254,14 +258,14 @@
             entries.append(_entry(_fields(rest)))
         self.catalogs[number] = tuple(entries)
 
-    def _roster(self, fields: dict[str, str]) -> io.Roster:
-        scope = _enum(io.ListScope, "scope", _need(fields, "scope"))
-        if scope is io.ListScope.FAILED:
-            return io.Roster(scope, ())
+    def _roster(self, fields: dict[str, str]) -> io.EndpointUpdate:
+        scope = _enum(io.UpdateScope, "scope", _need(fields, "scope"))
+        if scope is io.UpdateScope.FAILED:
+            return io.EndpointUpdate(scope, ())
         number = _int(fields, "buffer")
         if number not in self.catalogs:
             raise WireError(f"field 'buffer': no catalog {number}")
-        return io.Roster(scope, self.catalogs[number])
+        return io.EndpointUpdate(scope, self.catalogs[number])
 
     def _reply(self, now: int, pending: dict[int, list[io.Event]]) -> None:
         out: list[str] = []
@@ -270,7 +274,7 @@
                 actions = [
                     action
                     for action in self.pacers[instance].handle(now, events)
-                    if not isinstance(action, io.KeepHealth)  # nothing outlasts an instance here
+                    if not isinstance(action, io.PersistHealth)  # nothing outlasts an instance here
                 ]
             except Exception as error:  # the day must stop with the text, not go on without an instance
                 message = " ".join(f"{type(error).__name__}: {error}".split())
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -79,7 +79,7 @@
 
     @property
     def end(self) -> int:
-        return self.outages()[-1].back_at + self.rules_.ramp_time
+        return self.outages()[-1].back_at + self.rules_.slow_start_duration
 
     def outages(self) -> list[Outage]:
         outages = [Outage(self.outage, self.down_at, self.back_at, self.answered)]
@@ -98,12 +98,12 @@
             seed=self.random.randrange(1 << 60),
             at=at,
             relays=self.relays,
-            slots=48,
-            listed_rates=self.listed is not None,
+            max_calls=48,
+            uses_listed_rates=self.listed is not None,
             rules=self.rules,
         )
 
-    def entries(self, at: int) -> list[io.HostEntry]:
+    def entries(self, at: int) -> list[io.EndpointEntry]:
         rate = (self.listed or 1.0) / len(self.hosts)
         if self.halved and at > self.down_at:
             rate /= 2
@@ -119,7 +119,7 @@
             self.kill_some()
         if self.halved:
             for relay in range(self.relays):
-                news = io.Roster(io.ListScope.CHANGES, tuple(self.entries(self.back_at)))
+                news = io.EndpointUpdate(io.UpdateScope.DELTA, tuple(self.entries(self.back_at)))
                 self.push(self.down_at + S, relay, news)
         while self.queue:
             at, _, relay, life, event = heapq.heappop(self.queue)
@@ -144,7 +144,7 @@
             taken = self.later(each)
             while taken < self.owed * S:
                 patience = round(self.random.uniform(4.0, 20.0) * S)
-                self.push(at, relay, recovered(f"r{taken}", self.klass, patience=patience))
+                self.push(at, relay, recovered(f"r{taken}", self.klass, time_left=patience))
                 taken += self.later(each)
 
     def kill_some(self) -> None:
@@ -163,7 +163,7 @@
                 self.begin_life(at, number)
             case event if number not in self.dead:
                 self.feed(at, number, event)
-            case io.Arrived() if others := set(range(self.relays)) - self.dead:
+            case io.MessageArrived() if others := set(range(self.relays)) - self.dead:
                 other = self.random.choice(sorted(others))  # the clients of a dead one go to another
                 self.feed(at, other, self.fleet[other].message(self.klass))
 
@@ -171,7 +171,7 @@
         relay = self.fleet[number]
         relay.turn(*events, after=at - relay.now)
         for event in events:
-            if isinstance(event, io.Verdict | io.Probed) and event.status is not io.Status.OK:
+            if isinstance(event, io.AttemptEnded | io.ProbeEnded) and event.status is not io.Status.OK:
                 if event.status is not io.Status.ABANDONED:
                     self.told[number] |= {self.latest_outage(at)}
         self.carry_out(at, number)
@@ -184,13 +184,13 @@
         after = self.fleet[number] = self.start(at)
         after.count = before.count
         self.carry_out(at, number)
-        held = [m for m in before.pacer.messages.values() if not m.over]
+        held = [m for m in before.pacer.messages.values() if not m.finished]
         if self.killed in ("kept", "forgotten"):
             health = self.kept(before) if self.killed == "kept" else []
             events = health + [self.again_taken(at, m) for m in held]
             for event in events:
-                if isinstance(event, io.Recovered):
-                    after.attempts[event.call] = event.attempts - 1
+                if isinstance(event, io.MessageRecovered):
+                    after.attempts[event.message_id] = event.attempts - 1
             self.feed(at, number, *events)
         elif self.killed == "lost":
             for m in held:
@@ -201,17 +201,23 @@
     def kept(self, before: Relay) -> list[io.Event]:
         """What the folder holds of a relay's health records."""
         routes = [route for known in before.pacer.routes.values() for route in known]
-        records = tuple(record_of(route) for route in routes if route.bad_from is not None)
+        records = tuple(record_of(route) for route in routes if route.unhealthy_since is not None)
         return [io.HealthRestored(records)]
 
-    def again_taken(self, at: int, m: Any) -> io.Recovered:
-        ran_at = m.ran_at if m.ran_at is not None else m.call.sent_at if m.call is not None else None
+    def again_taken(self, at: int, m: Any) -> io.MessageRecovered:
+        ran_at = (
+            m.possible_run_at
+            if m.possible_run_at is not None
+            else m.call.sent_at
+            if m.call is not None
+            else None
+        )
         return recovered(
-            m.name,
+            m.message_id,
             self.klass,
-            patience=m.deadline - at,
+            time_left=m.deadline - at,
             attempts=m.attempts,
-            ran_ago=None if ran_at is None else at - ran_at,
+            possible_run_age=None if ran_at is None else at - ran_at,
         )
 
     def carry_out(self, at: int, number: int) -> None:
@@ -219,15 +225,15 @@
         calls: dict[tuple[str, int], list[str]] = {}
         for action in relay.actions:
             match action:
-                case io.Wake(after, token):
-                    self.push(at + after, number, io.Alarm(token))
+                case io.SetTimer(after, token):
+                    self.push(at + after, number, io.TimerExpired(token))
                 case io.Send(call, host, _):
                     call_out = relay.pacer.messages[call].call
                     calls.setdefault((host, id(call_out)), []).append(call)
                 case io.Probe(host, stop_at):
                     ends, status = self.meet(at, number, host, stop_at, 1)
-                    self.push(ends, number, io.Probed(host, status, ends - at, None), self.lives[number])
-        stops = {a.call: a.stop_at for a in relay.actions if isinstance(a, io.Send)}
+                    self.push(ends, number, io.ProbeEnded(host, status, ends - at, None), self.lives[number])
+        stops = {a.message_id: a.deadline for a in relay.actions if isinstance(a, io.Send)}
         for (host, _), names in calls.items():
             ends, status = self.meet(at, number, host, min(stops[name] for name in names), len(names))
             for name in names:
@@ -250,14 +256,14 @@
 
     def push(self, at: int, relay: int, event: Happening, life: int | None = None) -> None:
         if life is None:
-            life = self.lives[relay] if isinstance(event, io.Alarm) else -1
+            life = self.lives[relay] if isinstance(event, io.TimerExpired) else -1
         heapq.heappush(self.queue, (at, next(self.number), relay, life, event))
 
     # ---- judged
 
     def excess(self) -> list[tuple[float, Arrival, float, float, float]]:
-        """For each arrival, by how many calls the span of ``fall`` that ends with it (or begins with the
-        return) passes N + 2 sqrt(N) + 2: harder than the page where N is under 30."""
+        """For each arrival, by how many calls the span of ``overload_window`` that ends with it (or begins
+        with the return) passes N + 2 sqrt(N) + 2: harder than the page where N is under 30."""
         return [
             (weight - (budget + 2 * math.sqrt(budget) + 2), arrival, weight, budget, told)
             for partner in self.partners.values()
@@ -272,5 +278,5 @@
     def used(self) -> float:
         """Calls in the ramp behind the last return, over what the settings allow in it."""
         calls = sum(a.weight for partner in self.partners.values() for a in partner.arrivals[-1])
-        budget = sum(partner.budget(0, self.rules_.ramp_time) for partner in self.partners.values())
+        budget = sum(partner.budget(0, self.rules_.slow_start_duration) for partner in self.partners.values())
         return calls / budget
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,67 +13,69 @@
 SAFE, KEYED, UNSAFE, TURNS = 0, 1, 2, 3
 
 
-def klass(repeat: io.Repeat, scope: io.Scope = io.Scope.ALL, in_turn: bool = False) -> io.MessageClass:
+def klass(
+    repeat: io.Idempotency, scope: io.KeyScope = io.KeyScope.ALL, in_turn: bool = False
+) -> io.MessageClass:
     return io.MessageClass(
-        aim=2 * S,
+        target_latency=2 * S,
         deadline=20 * S,
-        worth=1.0,
-        late_worth=0.5,
-        repeat=repeat,
+        value=1.0,
+        late_value=0.5,
+        idempotency=repeat,
         key_scope=scope,
-        repeat_window=10 * S,
-        in_turn=in_turn,
+        deduplication_window=10 * S,
+        ordered=in_turn,
     )
 
 
 def settings(**changes: Any) -> io.Settings:
     rules: dict[str, Any] = dict(
         answer_slack=20 * MS,
-        ask_every=10 * S,
+        discovery_interval=10 * S,
         drain_grace=S,
-        fall=2 * S,
-        fall_multiple=2.0,
-        ramp_time=10 * S,
-        start_capacity=0.2,
-        turn_gap=0,
+        overload_window=2 * S,
+        overload_multiple=2.0,
+        slow_start_duration=10 * S,
+        slow_start_initial_share=0.2,
+        ordering_gap=0,
     )
     limits: dict[str, Any] = dict(
         cancel=True,
         probes=True,
         peers=False,
-        second_copies=False,
+        hedging=False,
         retry_after=False,
-        most_held=100,
-        most_tries=6,
+        max_held=100,
+        max_attempts=6,
         max_retry_after=2 * S,
         connect_timeout=S,
-        conn_idle=10 * S,
+        connection_idle_timeout=10 * S,
     )
     rules.update(changes.pop("rules", {}))
     limits.update(changes.pop("limits", {}))
     values: dict[str, Any] = dict(
         relays=2,
-        slots=8,
+        max_calls=8,
         tick=5 * MS,
         zone=0,
-        discovery=io.Discovery.AUTOMATIC,
-        listed_rates=False,
-        decay=io.Decay.EVEN,
+        discovery=io.DiscoveryMode.AUTOMATIC,
+        uses_listed_rates=False,
+        value_decay=io.ValueDecay.LINEAR,
         classes=(
-            klass(io.Repeat.SAFE),
-            klass(io.Repeat.KEYED),
-            klass(io.Repeat.UNSAFE),
-            klass(io.Repeat.KEYED, in_turn=True),
+            klass(io.Idempotency.SAFE),
+            klass(io.Idempotency.KEYED),
+            klass(io.Idempotency.UNSAFE),
+            klass(io.Idempotency.KEYED, in_turn=True),
         ),
         kinds=(
-            io.Kind(apart=False, per_call=1),
-            io.Kind(apart=True, per_call=1),
-            io.Kind(apart=False, per_call=4),
+            io.DestinationKind(separate_routes=False, max_batch_size=1),
+            io.DestinationKind(separate_routes=True, max_batch_size=1),
+            io.DestinationKind(separate_routes=False, max_batch_size=4),
         ),
-        tenant_rates=(),
-        over_share_worth=0.1,
+        tenant_quotas=(),
+        over_quota_value=0.1,
         zone_fees=(),
-        refused_price=0.0,
+        throttled_price=0.0,
         prices={},
         rules=io.Rules(**rules),
         limits=io.Limits(**limits),
@@ -89,28 +91,28 @@
     zone: int = 0,
     state: io.Availability = io.Availability.RUNNING,
     rate: float = 1.0,
-) -> io.HostEntry:
-    return io.HostEntry(host, zone, kind, dest, state, rate)
+) -> io.EndpointEntry:
+    return io.EndpointEntry(host, zone, kind, dest, state, rate)
 
 
 class Relay:
     """Drives one Pacer and keeps what it did."""
 
-    def __init__(self, *entries: io.HostEntry, seed: int = 7, at: int = 1000 * S, **changes: Any) -> None:
+    def __init__(self, *entries: io.EndpointEntry, seed: int = 7, at: int = 1000 * S, **changes: Any) -> None:
         self.settings = settings(**changes)
         self.pacer = Pacer(self.settings, seed)
         self.now = at
         self.count = 0
         self.attempts: dict[str, int] = {}
         self.where: dict[str, str] = {}
-        self.actions: list[io.Action] = self.turn(io.Roster(io.ListScope.CACHED, entries))
+        self.actions: list[io.Action] = self.turn(io.EndpointUpdate(io.UpdateScope.CACHED, entries))
 
     def turn(self, *events: io.Event, after: int = 0) -> list[io.Action]:
         self.now += after
         self.actions = self.pacer.handle(self.now, events)
         for send in self.sends():
-            self.attempts[send.call] = self.attempts.get(send.call, -1) + 1
-            self.where[send.call] = send.host
+            self.attempts[send.message_id] = self.attempts.get(send.message_id, -1) + 1
+            self.where[send.message_id] = send.endpoint
         return self.actions
 
     def message(
@@ -120,9 +122,9 @@
         key: str | None = None,
         tenant: int = 0,
         patience: int = 20 * S,
-    ) -> io.Arrived:
+    ) -> io.MessageArrived:
         self.count += 1
-        return io.Arrived(f"m{self.count}", tenant, klass, dest, key, patience)
+        return io.MessageArrived(f"m{self.count}", tenant, klass, dest, key, patience)
 
     def verdict(
         self,
@@ -130,9 +132,9 @@
         status: io.Status,
         wait: int = 0,
         cost: int = 100 * MS,
-        report: io.Report | None = None,
-    ) -> io.Verdict:
-        return io.Verdict(
+        report: io.LoadReport | None = None,
+    ) -> io.AttemptEnded:
+        return io.AttemptEnded(
             call,
             self.attempts[call],
             self.where[call],
@@ -155,13 +157,13 @@
         for _ in range(n):
             self.turn(self.message(klass, dest), after=100 * MS)
             for send in self.sends():
-                self.turn(self.verdict(send.call, io.Status.OK), after=100 * MS)
+                self.turn(self.verdict(send.message_id, io.Status.OK), after=100 * MS)
 
     def try_all(self, status: io.Status, n: int, wait: int = 0) -> None:
         """Let whatever is sent come back with this outcome until n attempts did."""
         done = 0
         for _ in range(400):
-            out = [m.name for m in self.pacer.messages.values() if m.call is not None]
+            out = [m.message_id for m in self.pacer.messages.values() if m.call is not None]
             if done >= n:
                 return
             if out:
--- a/tests/partner.py
+++ b/tests/partner.py
@@ -128,32 +128,33 @@
         return True
 
     def _share(self, since: int) -> float:
-        least = self.rules.start_capacity
-        return min(1.0, least + (1 - least) * since / self.rules.ramp_time)
+        least = self.rules.slow_start_initial_share
+        return min(1.0, least + (1 - least) * since / self.rules.slow_start_duration)
 
     def warm(self, since: int) -> float:
         """The warm destination's seconds in which it could take what it may take in this time of its ramp."""
-        ramp, least = self.rules.ramp_time / S, self.rules.start_capacity
+        ramp, least = self.rules.slow_start_duration / S, self.rules.slow_start_initial_share
         t = min(since / S, ramp)
         return least * t + (1 - least) * t * t / (2 * ramp) + max(0.0, since / S - ramp)
 
     def budget(self, begin: int, end: int) -> float:
         """Calls that the settings allow from ``begin`` to ``end``, counted from the return."""
-        return self.rules.fall_multiple * self.capacity * (self.warm(end) - self.warm(begin))
+        return self.rules.overload_multiple * self.capacity * (self.warm(end) - self.warm(begin))
 
     def spans(self, number: int) -> list[tuple[Arrival, float, float, float]]:
-        """For each arrival behind that outage: the weight of the span of ``fall`` that ends with it (or that
-        begins with the return), what the settings allow in it, and the share from relays that were told."""
+        """For each arrival behind that outage: the weight of the span of ``overload_window`` that ends with
+        it (or that begins with the return), what the settings allow in it, and the share from relays that
+        were told."""
         found = []
         first = 0
         back_at, arrivals = self.outages[number].back_at, self.arrivals[number]
         for last, arrival in enumerate(arrivals):
-            begin = max(back_at, arrival.at - self.rules.fall)
+            begin = max(back_at, arrival.at - self.rules.overload_window)
             while arrivals[first].at < begin:
                 first += 1
             span = arrivals[first : last + 1]
             weight = sum(one.weight for one in span)
-            budget = self.budget(begin - back_at, begin + self.rules.fall - back_at)
+            budget = self.budget(begin - back_at, begin + self.rules.overload_window - back_at)
             found.append((arrival, weight, budget, sum(one.weight for one in span if one.told) / weight))
         return found
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -408,7 +408,7 @@
 async def test_turn_that_was_due_when_the_process_closed_touches_nothing(field: Field) -> None:
     await field.start()
     relay = field.relays.pop()
-    relay._post(io.Arrived("m1", 0, 0, 3, None, 10**9))
+    relay._post(io.MessageArrived("m1", 0, 0, 3, None, 10**9))
     relay.close()
     await asyncio.sleep(0)
     relay.server.stop()
--- a/tests/test_health_store.py
+++ b/tests/test_health_store.py
@@ -37,32 +37,35 @@
 
 # Guards against a next life that is not bound by what this one was told.
 def test_latest_record_of_each_destination_comes_back(tmp_path: Path) -> None:
-    first, second = record(1), record(2, "b", ramp_from=NOW - S, out=False, warm_at=NOW + S)
-    kept(tmp_path, record(1, bad=0.3), second, first)
-    assert sorted(loaded(tmp_path), key=lambda one: one.dest) == [first, second]
+    first, second = (
+        record(1),
+        record(2, "b", slow_start_began_at=NOW - S, in_outage=False, slow_start_ends_at=NOW + S),
+    )
+    kept(tmp_path, record(1, failure_rate=0.3), second, first)
+    assert sorted(loaded(tmp_path), key=lambda one: one.destination) == [first, second]
 
 
 # Guards against a second kill that undoes what outlasted the first.
 def test_records_of_an_earlier_life_stay_when_this_one_writes(tmp_path: Path) -> None:
     kept(tmp_path, record(1))
     kept(tmp_path, record(2, "b"))
-    assert {one.dest for one in loaded(tmp_path)} == {1, 2}
+    assert {one.destination for one in loaded(tmp_path)} == {1, 2}
 
 
 # Guards against a destination that stays slowed down by an outage that is over.
 def test_destination_that_is_well_again_is_not_restored(tmp_path: Path) -> None:
-    kept(tmp_path, record(1), record(2, "b"), record(1, bad_from=None))
-    assert [one.dest for one in loaded(tmp_path)] == [2]
+    kept(tmp_path, record(1), record(2, "b"), record(1, unhealthy_since=None))
+    assert [one.destination for one in loaded(tmp_path)] == [2]
 
 
 # Guards against a disk that is filled by a destination that goes up and down.
 def test_file_stays_within_its_bound_and_keeps_the_latest(tmp_path: Path) -> None:
     store = HealthStore(tmp_path, ROOM)
     for number in range(500):
-        store.keep([record(number % 40, f"host-{number % 40}", bad_at=NOW - S + number)])
+        store.keep([record(number % 40, f"host-{number % 40}", last_bad_outcome_at=NOW - S + number)])
         assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= ROOM
     store.close()
-    assert loaded(tmp_path)[-1].bad_at == NOW - S + 499
+    assert loaded(tmp_path)[-1].last_bad_outcome_at == NOW - S + 499
 
 
 # Guards against a start that fails, or is misled, for want of a readable file.
@@ -71,7 +74,7 @@
     (tmp_path / "health").write_bytes(damage)
     assert loaded(tmp_path) == []
     kept(tmp_path, record(1))
-    assert [one.dest for one in loaded(tmp_path)] == [1]
+    assert [one.destination for one in loaded(tmp_path)] == [1]
 
 
 # Guards against a write that a kill cut short at any byte.
@@ -81,30 +84,41 @@
     last = whole.rstrip(b"\n").rfind(b"\n") + 1
     for cut in range(last, len(whole) - 1):
         (tmp_path / "health").write_bytes(whole[:cut])
-        assert [one.dest for one in loaded(tmp_path)] == [1]
+        assert [one.destination for one in loaded(tmp_path)] == [1]
 
 
 @pytest.mark.parametrize(
-    "wrong", [{"bad": 7.0}, {"bad": float("nan")}, {"served_before": -1.0}, {"bad_at": None}, {"out": 1}]
+    "wrong",
+    [
+        {"failure_rate": 7.0},
+        {"failure_rate": float("nan")},
+        {"rate_before_outage": -1.0},
+        {"last_bad_outcome_at": None},
+        {"in_outage": 1},
+    ],
 )
 def test_values_that_cannot_be_are_passed_over(tmp_path: Path, wrong: dict[str, Any]) -> None:
     kept(tmp_path, replace(record(1), **wrong), record(2, "b"))
-    assert [one.dest for one in loaded(tmp_path)] == [2]
+    assert [one.destination for one in loaded(tmp_path)] == [2]
 
 
 # Guards against times of another clock that are taken for ours.
 def test_trouble_seen_in_another_boot_counts_as_seen_just_now(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    kept(tmp_path, record(1, ramp_from=NOW - 5 * S, warm_at=NOW + 5 * S))
+    kept(tmp_path, record(1, slow_start_began_at=NOW - 5 * S, slow_start_ends_at=NOW + 5 * S))
     monkeypatch.setattr(health_store, "boot_id", lambda: "another")
     (found,) = loaded(tmp_path, now=7 * S)
-    assert (found.bad_from, found.bad_at, found.ramp_from) == (7 * S, 7 * S, None)
+    assert (found.unhealthy_since, found.last_bad_outcome_at, found.slow_start_began_at) == (
+        7 * S,
+        7 * S,
+        None,
+    )
 
 
 def test_time_beyond_any_wait_counts_as_just_now(tmp_path: Path) -> None:
-    kept(tmp_path, record(1, bad_at=NOW + FURTHEST_AHEAD + 1))
-    assert loaded(tmp_path)[0].bad_at == NOW
+    kept(tmp_path, record(1, last_bad_outcome_at=NOW + FURTHEST_AHEAD + 1))
+    assert loaded(tmp_path)[0].last_bad_outcome_at == NOW
 
 
 # Guards against a disk that fails for a while and takes with it what was seen meanwhile.
@@ -121,7 +135,7 @@
         patch.setattr(os, "write", fail)
         store.keep([record(2, "b")])
         store.keep([record(3, "c")])
-        assert [one.dest for one in loaded(tmp_path)] == [1]
+        assert [one.destination for one in loaded(tmp_path)] == [1]
     assert caplog.text.count("cannot be kept") == 1
     store.flush()
-    assert {one.dest for one in loaded(tmp_path)} == {1, 2, 3}
+    assert {one.destination for one in loaded(tmp_path)} == {1, 2, 3}
--- a/tests/test_introduced.py
+++ b/tests/test_introduced.py
@@ -21,7 +21,7 @@
 
 
 def introduced(relay: Relay, dest: int) -> None:
-    relay.turn(io.Introduced(dest, (entry(f"h{dest}", dest),)))
+    relay.turn(io.DestinationLoaded(dest, (entry(f"h{dest}", dest),)))
 
 
 def serve_many(relay: Relay, dests: range) -> set[int]:
@@ -30,13 +30,13 @@
 
     def turn(*events: io.Event, after: int = 0) -> None:
         relay.turn(*events, after=after)
-        released.update(action.dest for action in relay.of(io.Released))
+        released.update(action.destination for action in relay.of(io.EvictDestination))
 
     for dest in dests:
-        turn(io.Introduced(dest, (entry(f"h{dest}", dest),)))
+        turn(io.DestinationLoaded(dest, (entry(f"h{dest}", dest),)))
         turn(relay.message(dest=dest), after=100 * MS)
         (send,) = relay.sends()
-        turn(relay.verdict(send.call, io.Status.OK), after=100 * MS)
+        turn(relay.verdict(send.message_id, io.Status.OK), after=100 * MS)
     return released
 
 
@@ -47,7 +47,7 @@
     assert set(relay.pacer.hosts) == {f"h{dest}" for dest in range(101 - USED, 101)}
     introduced(relay, 1)
     relay.turn(relay.message(dest=1))
-    assert [send.host for send in relay.sends()] == ["h1"]
+    assert [send.endpoint for send in relay.sends()] == ["h1"]
 
 
 def test_destination_in_use_is_the_last_to_be_let_go(few: None) -> None:
@@ -73,13 +73,13 @@
     relay = Relay()
     introduced(relay, 1)
     relay.turn(relay.message(dest=1))
-    relay.turn(relay.verdict("m1", status, wait), io.Withdrawn("m1"))
-    until_then = relay.pacer.routes[1][0].wait_until
-    relay.turn(io.Withdrawn("m1"))
+    relay.turn(relay.verdict("m1", status, wait), io.MessageWithdrawn("m1"))
+    until_then = relay.pacer.routes[1][0].retry_after_until
+    relay.turn(io.MessageWithdrawn("m1"))
     released = serve_many(relay, range(2, 40))
     if status is io.Status.FULL and not wait:
         return  # a refusal alone binds for its own pause
-    assert 1 not in released and relay.pacer.routes[1][0].wait_until == until_then
+    assert 1 not in released and relay.pacer.routes[1][0].retry_after_until == until_then
     assert not relay.pacer.may_forget(1)
 
 
@@ -89,7 +89,7 @@
     introduced(relay, 2)
     relay.turn(relay.message(UNSAFE, dest=1))
     relay.turn(
-        io.Roster(io.ListScope.CHANGES, (entry("h2", 2, state=io.Availability.STOPPING),)),
+        io.EndpointUpdate(io.UpdateScope.DELTA, (entry("h2", 2, state=io.Availability.STOPPING),)),
         relay.message(dest=2),
     )
     assert serve_many(relay, range(3, 60)).isdisjoint({1, 2})
@@ -99,7 +99,7 @@
 def test_destination_without_hosts_is_let_go_too(few: None) -> None:
     relay = Relay()
     for dest in range(1, 50):
-        relay.turn(io.Introduced(dest, ()))
+        relay.turn(io.DestinationLoaded(dest, ()))
     for _ in range(30):
         relay.turn(after=MS)
     assert len(relay.pacer.introduced) == USED
@@ -110,7 +110,7 @@
     relay = Relay(*(entry(f"h{dest}", dest) for dest in range(1, 50)))
     for dest in range(1, 50):
         relay.serve(dest=dest)
-        assert not relay.of(io.Released)
+        assert not relay.of(io.EvictDestination)
     assert len(relay.pacer.routes) == 49
 
 
@@ -138,7 +138,9 @@
     await until(lambda: not relay.inbox)
     assert len(relay.used) <= USED + 4 and relay.used.keys() == relay.pacer.introduced.keys()
     assert set(relay.hosts.addresses) == set(relay.zones) == set(relay.pacer.hosts)
-    assert relay.pacer.routes[0][0].wait_until > relay.pacer.now  # longer than all that has been let go since
+    assert (
+        relay.pacer.routes[0][0].retry_after_until > relay.pacer.now
+    )  # longer than all that has been let go since
     assert relay.metrics.current <= 1 and len(relay.catalog) == count
 
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -89,11 +89,11 @@
 
 
 def test_wrong_settings_name_the_field() -> None:
-    for changes, field in (({"slots": 0}, "slots"), ({"relays": 0}, "relays")):
+    for changes, field in (({"max_calls": 0}, "familyInfo.callsOut"), ({"relays": 0}, "relays")):
         with pytest.raises(ValueError, match=field):
             Relay(entry("a"), **changes)
-    with pytest.raises(ValueError, match="fall"):
-        Relay(entry("a"), rules={"fall": 0})
+    with pytest.raises(ValueError, match="rules.fall"):
+        Relay(entry("a"), rules={"overload_window": 0})
 
 
 def test_module_stays_within_its_size() -> None:
@@ -112,7 +112,7 @@
             seen += map(str, relay.actions)
             status = io.Status.FULL if n % 5 == 0 else io.Status.OK
             for send in relay.sends():
-                relay.turn(relay.verdict(send.call, status), after=10 * MS)
+                relay.turn(relay.verdict(send.message_id, status), after=10 * MS)
                 seen += map(str, relay.actions)
         return seen
 
@@ -125,7 +125,7 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 20), st.integers(1, 900)), max_size=80))
 def test_random_walks_keep_the_rules(steps: list[tuple[int, int, int]]) -> None:
-    relay = Relay(entry("a"), entry("b"), limits={"most_held": 30})
+    relay = Relay(entry("a"), entry("b"), limits={"max_held": 30})
     ended: set[str] = set()
     unsafe_ran: set[str] = set()
     classes: dict[str, int] = {}
@@ -138,28 +138,28 @@
         batch_start = True
         for action in relay.actions:
             if isinstance(action, io.Send):
-                assert action.call not in ended and action.call not in outstanding
-                assert action.call not in unsafe_ran
+                assert action.message_id not in ended and action.message_id not in outstanding
+                assert action.message_id not in unsafe_ran
                 assert relay.now >= wait_until or not batch_start
-                assert relay.now < due[action.call]
-                if classes[action.call] == TURNS:
-                    before = keyed[: keyed.index(action.call)]
+                assert relay.now < due[action.message_id]
+                if classes[action.message_id] == TURNS:
+                    before = keyed[: keyed.index(action.message_id)]
                     assert all(name in ended and name not in outstanding for name in before)
-                outstanding[action.call] = action
-            elif isinstance(action, io.Refuse | io.Fail):
-                assert action.call not in ended
-                if isinstance(action, io.Refuse):
-                    assert action.call not in unsafe_ran
-                ended.add(action.call)
+                outstanding[action.message_id] = action
+            elif isinstance(action, io.Reject | io.Fail):
+                assert action.message_id not in ended
+                if isinstance(action, io.Reject):
+                    assert action.message_id not in unsafe_ran
+                ended.add(action.message_id)
 
     for what, which, gap in steps:
         relay.now += gap * MS
         if what < 5 or not outstanding:
             klass = (SAFE, 1, UNSAFE, TURNS)[which % 4]
             message = relay.message(klass, key="k" if klass == TURNS else None)
-            classes[message.call], due[message.call] = klass, relay.now + message.patience
+            classes[message.message_id], due[message.message_id] = klass, relay.now + message.time_left
             if klass == TURNS:
-                keyed.append(message.call)
+                keyed.append(message.message_id)
             relay.turn(message)
         else:
             name = sorted(outstanding)[which % len(outstanding)]
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -238,17 +238,17 @@
     assert list(fresh) == ["started", "dests", "hosts"]
     assert list(fresh["dests"]["a"]) == list(LEARNED_OF_DESTINATION)
     assert len(fresh["hosts"]["a"]) == len(LEARNED_OF_HOST)
-    relay.turn(io.Learned(json.loads(json.dumps(LEARNED))))
+    relay.turn(io.PredecessorState(json.loads(json.dumps(LEARNED))))
     assert json.dumps(relay.pacer.learned()) == json.dumps(LEARNED)
 
 
 # Guards against a host's or destination's fact that goes over under another's name.
 def test_handed_over_state_holds_what_the_pacer_decided() -> None:
-    relay = Relay(entry("a"), kinds=(io.Kind(False, 1),))
+    relay = Relay(entry("a"), kinds=(io.DestinationKind(False, 1),))
     relay.serve(2)
     relay.turn(relay.message(), after=S)
     (send,) = relay.sends()
-    relay.turn(relay.verdict(send.call, io.Status.FULL, wait=2 * S), after=100 * MS)
+    relay.turn(relay.verdict(send.message_id, io.Status.FULL, wait=2 * S), after=100 * MS)
     known = relay.pacer.learned()
     facts, host = known["dests"]["a"], known["hosts"]["a"]
     assert facts["wait_until"] >= relay.now + 2 * S
@@ -319,7 +319,7 @@
         "served_before",
     )
     facts = LEARNED_OF_DESTINATION | dict(zip(names, HEALTH_RECORD[2:], strict=True))
-    relay.turn(io.Learned({"started": 1, "dests": {"a": facts}, "hosts": {}}))
+    relay.turn(io.PredecessorState({"started": 1, "dests": {"a": facts}, "hosts": {}}))
     record = record_of(relay.pacer.routes[7][0])
     assert list(astuple(record)) == HEALTH_RECORD
     store = HealthStore(tmp_path, 4096)
@@ -421,8 +421,8 @@
     },
 }
 SETTINGS = (
-    *(6, 10, 7, 1, io.Discovery("subscribe"), True, io.Decay("by_half")),
-    ((2, 3, 4.5, 0.25, io.Repeat("dedup"), io.Scope("zone"), 5, True),),
+    *(6, 10, 7, 1, io.DiscoveryMode("subscribe"), True, io.ValueDecay("by_half")),
+    ((2, 3, 4.5, 0.25, io.Idempotency("dedup"), io.KeyScope("zone"), 5, True),),
     ((True, 12), (False, 13)),
     *((8.5,), 0.125, (11.5,), 14.5, {"probe": 9.5}),
     (15, 16, 17, 18, 19.5, 20, 0.75, 21),
@@ -486,12 +486,12 @@
 
 # Guards against values on the wire that an enumeration no longer knows.
 def test_values_of_settings_and_wire_stay() -> None:
-    assert [value.value for value in io.Repeat] == ["retryable", "dedup", "fragile"]
-    assert [value.value for value in io.Scope] == ["all", "zone", "cell"]
-    assert [value.value for value in io.Decay] == ["even", "by_half"]
-    assert [value.value for value in io.Discovery] == ["automatic", "subscribe"]
+    assert [value.value for value in io.Idempotency] == ["retryable", "dedup", "fragile"]
+    assert [value.value for value in io.KeyScope] == ["all", "zone", "cell"]
+    assert [value.value for value in io.ValueDecay] == ["even", "by_half"]
+    assert [value.value for value in io.DiscoveryMode] == ["automatic", "subscribe"]
     assert [value.value for value in io.Availability] == ["Running", "Stopping", "Deleted"]
-    assert [value.value for value in io.ListScope] == ["D", "F", "C", "X"]
+    assert [value.value for value in io.UpdateScope] == ["D", "F", "C", "X"]
     assert {value.name.lower(): value.value for value in io.Status} == {
         "ok": 10,
         "error": 20,
@@ -553,13 +553,13 @@
     )
     ok = io.Status(10)
     assert seen == [
-        (2000, io.Roster, (io.ListScope("C"), entries)),
-        (2000, io.Arrived, ("r-a", 0, 0, 57, "k1", 20 * S, True)),
-        (90_002_000, io.Verdict, ("r-a", 0, "10.0.0.1:80", ok, 9000, True, 0, False, (0.4, 2.0), False)),
-        (90_002_000, io.Probed, ("10.0.0.1:80", ok, 9000, None)),
-        (90_002_000, io.Withdrawn, ("r-b",)),
-        (90_002_000, io.Alarm, (1,)),
-        (90_002_000, io.Roster, (io.ListScope("X"), ())),
+        (2000, io.EndpointUpdate, (io.UpdateScope("C"), entries)),
+        (2000, io.MessageArrived, ("r-a", 0, 0, 57, "k1", 20 * S, True)),
+        (90_002_000, io.AttemptEnded, ("r-a", 0, "10.0.0.1:80", ok, 9000, True, 0, False, (0.4, 2.0), False)),
+        (90_002_000, io.ProbeEnded, ("10.0.0.1:80", ok, 9000, None)),
+        (90_002_000, io.MessageWithdrawn, ("r-b",)),
+        (90_002_000, io.TimerExpired, (1,)),
+        (90_002_000, io.EndpointUpdate, (io.UpdateScope("X"), ())),
     ]
 
 
@@ -569,13 +569,13 @@
         wirehost.format_action(action)
         for action in (
             io.Send("m1", "a", 2),
-            io.Refuse("m1", 3),
-            io.Refuse("m1", 0),
+            io.Reject("m1", 3),
+            io.Reject("m1", 0),
             io.Fail("m1"),
             io.Cancel("m1", 4),
             io.Probe("a", 5),
-            io.Close("a"),
-            io.Wake(6, 7),
+            io.CloseIdleConnections("a"),
+            io.SetTimer(6, 7),
             io.Subscribe(),
             io.Log("a  b"),
         )
@@ -689,7 +689,7 @@
 
 def lines_said(*outcomes: io.Status) -> list[str]:
     """The log lines of a pacer whose calls end so, one after the other."""
-    relay = Relay(entry("a", rate=20.0), listed_rates=True)
+    relay = Relay(entry("a", rate=20.0), uses_listed_rates=True)
     said: list[str] = []
 
     def note() -> None:
@@ -706,7 +706,7 @@
             note()
             sends = relay.sends()
         for send in sends:
-            relay.turn(relay.verdict(send.call, outcome), after=10 * MS)
+            relay.turn(relay.verdict(send.message_id, outcome), after=10 * MS)
             note()
     return said
 
