--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -6,7 +6,7 @@
 
 from starlingwick import interface as io
 from starlingwick.control import CUT
-from starlingwick.state import Destination, Host, Message
+from starlingwick.state import Destination, Endpoint, Message
 from tests.helpers import MS, TURNS, Relay, S, entry
 
 
@@ -14,7 +14,7 @@
     relay.turn(*[relay.message() for _ in range(n)])
     sent = relay.sends()
     assert len(sent) == n
-    relay.turn(*[relay.verdict(s.call, io.Status.FULL) for s in sent], after=50 * MS)
+    relay.turn(*[relay.verdict(s.message_id, io.Status.FULL) for s in sent], after=50 * MS)
 
 
 def test_three_refusals_cut_to_three_quarters_of_what_was_sent_and_two_do_not() -> None:
@@ -22,33 +22,33 @@
     relay.serve(10)
     dest = relay.pacer.routes[1][0]
     refuse(relay, 2)
-    assert dest.ceiling is None
+    assert dest.rate_limit is None
     relay = Relay(entry("a"))
     relay.serve(10)
     dest = relay.pacer.routes[1][0]
     sent_before = 13 / 2.05
     refuse(relay, 3)
-    assert dest.ceiling == pytest.approx(CUT * sent_before, rel=0.02)
+    assert dest.rate_limit == pytest.approx(CUT * sent_before, rel=0.02)
 
 
 def test_ceiling_climbs_a_quarter_of_the_gap_and_is_dropped_at_its_target() -> None:
-    relay = Relay(entry("a", rate=20.0), listed_rates=True)
+    relay = Relay(entry("a", rate=20.0), uses_listed_rates=True)
     relay.serve(10)
     refuse(relay, 3)
     dest = relay.pacer.routes[1][0]
-    before = dest.ceiling
+    before = dest.rate_limit
     assert before is not None
     relay.turn(after=2 * S)
-    assert dest.ceiling == pytest.approx(before + (10.0 - before) / 4)
+    assert dest.rate_limit == pytest.approx(before + (10.0 - before) / 4)
     for _ in range(12):
         relay.turn(relay.message(), after=2 * S)
         for send in relay.sends():
-            relay.turn(relay.verdict(send.call, io.Status.OK), after=10 * MS)
-    assert dest.ceiling is None
+            relay.turn(relay.verdict(send.message_id, io.Status.OK), after=10 * MS)
+    assert dest.rate_limit is None
 
 
 def test_calls_out_before_a_cut_are_three_quarters_of_the_slots() -> None:
-    relay = Relay(entry("a"), slots=7)
+    relay = Relay(entry("a"), max_calls=7)
     relay.turn(*[relay.message() for _ in range(20)])
     assert len(relay.sends()) == 5
 
@@ -57,11 +57,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Every held message was put to the gate in every turn: with hundreds, answers came late."""
-    relay = Relay(entry("a"), slots=40, limits={"most_held": 1000})
+    relay = Relay(entry("a"), max_calls=40, limits={"max_held": 1000})
     relay.turn(*[relay.message() for _ in range(400)])
     gate, looks = relay.pacer.gate, 0
 
-    def counted(dest: Destination, host: Host, m: Message | None) -> int:
+    def counted(dest: Destination, host: Endpoint, m: Message | None) -> int:
         nonlocal looks
         looks += 1
         return gate(dest, host, m)
@@ -75,27 +75,27 @@
     relay = Relay(entry("a"))
     relay.serve(10)
     dest = relay.pacer.routes[1][0]
-    dest.ceiling, dest.mean = 10.0, 100.0 * MS
+    dest.rate_limit, dest.mean_response_time = 10.0, 100.0 * MS
     assert relay.pacer.most_calls(dest) == 2
-    dest.mean = 1.0 * MS
+    dest.mean_response_time = 1.0 * MS
     assert relay.pacer.most_calls(dest) == 1
 
 
 def test_suspect_destination_holds_half_the_slots() -> None:
     relay = Relay(entry("a"))
     dest = relay.pacer.routes[1][0]
-    dest.bad = 0.3
+    dest.failure_rate = 0.3
     assert relay.pacer.most_calls(dest) == 4
 
 
 def test_replaced_hosts_and_done_keys_are_forgotten() -> None:
     """Hosts gone and keys done were kept for ever."""
-    relay = Relay(entry("h0", kind=1), rules={"turn_gap": S})
+    relay = Relay(entry("h0", kind=1), rules={"ordering_gap": S})
     for n in range(1, 200):
         relay.turn(relay.message(TURNS, key=f"k{n}"), after=60 * S)
-        relay.turn(*[relay.verdict(s.call, io.Status.RESET) for s in relay.sends()], after=50 * MS)
+        relay.turn(*[relay.verdict(s.message_id, io.Status.RESET) for s in relay.sends()], after=50 * MS)
         new, gone = entry(f"h{n}", kind=1), entry(f"h{n - 1}", kind=1, state=io.Availability.DELETED)
-        relay.turn(io.Roster(io.ListScope.CHANGES, (new, gone)))
+        relay.turn(io.EndpointUpdate(io.UpdateScope.DELTA, (new, gone)))
     relay.turn(after=30 * S)
     pacer = relay.pacer
     assert len(pacer.hosts) == len(pacer.routes[1]) == 1
@@ -104,21 +104,21 @@
 
 def test_host_that_returns_under_its_old_id_is_used_again() -> None:
     relay = Relay(entry("a"))
-    relay.turn(io.Roster(io.ListScope.WHOLE, ()), relay.message())
+    relay.turn(io.EndpointUpdate(io.UpdateScope.SNAPSHOT, ()), relay.message())
     assert relay.sends() == []
-    relay.turn(io.Roster(io.ListScope.CHANGES, (entry("a"),)), after=S)
-    assert [s.host for s in relay.sends()] == ["a"]
+    relay.turn(io.EndpointUpdate(io.UpdateScope.DELTA, (entry("a"),)), after=S)
+    assert [s.endpoint for s in relay.sends()] == ["a"]
 
 
 def test_refusals_at_a_spent_limit_rest_longer_where_turns_are_rare() -> None:
     """A route got more than its limit from retries alone and served nothing (gandhinagar-hub-later)."""
 
     def attempts(relays: int) -> int:
-        relay = Relay(entry("a", rate=6.0), relays=relays, listed_rates=True)
+        relay = Relay(entry("a", rate=6.0), relays=relays, uses_listed_rates=True)
         relay.turn(relay.message())
-        count, spent = 1, io.Report(0.0, 6.0)
+        count, spent = 1, io.LoadReport(0.0, 6.0)
         for _ in range(150):
-            refused = [relay.verdict(s.call, io.Status.FULL, report=spent) for s in relay.sends()]
+            refused = [relay.verdict(s.message_id, io.Status.FULL, report=spent) for s in relay.sends()]
             relay.turn(*refused, after=100 * MS)
             count += len(relay.sends())
         return count
@@ -127,46 +127,46 @@
 
 
 def test_a_limit_half_left_ends_the_rest_and_no_report_changes_nothing_else() -> None:
-    relay = Relay(entry("a", rate=6.0), relays=60, listed_rates=True)
+    relay = Relay(entry("a", rate=6.0), relays=60, uses_listed_rates=True)
     dest = relay.pacer.routes[1][0]
     relay.turn(relay.message(), relay.message())
-    relay.turn(relay.verdict("m1", io.Status.FULL, report=io.Report(0.0, 6.0)), after=50 * MS)
-    assert dest.rest > 0
+    relay.turn(relay.verdict("m1", io.Status.FULL, report=io.LoadReport(0.0, 6.0)), after=50 * MS)
+    assert dest.backoff > 0
     relay.pacer.pause(dest, False, None)
-    assert dest.rest > 0
+    assert dest.backoff > 0
     relay.pacer.pause(dest, False, 1.5)  # out of range, legal
-    assert dest.rest == 0
+    assert dest.backoff == 0
 
 
 def test_message_that_cannot_be_tried_in_time_is_handed_back_at_once() -> None:
-    relay = Relay(entry("a", rate=6.0), relays=300, listed_rates=True, seed=2)
+    relay = Relay(entry("a", rate=6.0), relays=300, uses_listed_rates=True, seed=2)
     relay.turn(relay.message(patience=3 * S))
     relay.turn(relay.verdict("m1", io.Status.CONNECT_FAILED), after=50 * MS)
-    assert [a.call for a in relay.of(io.Refuse)] == ["m1"]
+    assert [a.message_id for a in relay.of(io.Reject)] == ["m1"]
 
 
 def test_sends_to_one_host_share_a_call_as_far_as_the_kind_allows() -> None:
-    relay = Relay(entry("a", kind=2), slots=4)
+    relay = Relay(entry("a", kind=2), max_calls=4)
     relay.turn(*[relay.message() for _ in range(20)])
     assert len(relay.sends()) == 12  # three calls of four
     assert len(relay.pacer.calls) == 3
 
 
 def test_subscription_is_asked_for_and_renewed() -> None:
-    relay = Relay(entry("a"), discovery=io.Discovery.SUBSCRIBE)
+    relay = Relay(entry("a"), discovery=io.DiscoveryMode.SUBSCRIBE)
     assert len(relay.of(io.Subscribe)) == 1
-    relay.turn(io.Roster(io.ListScope.FAILED, ()), after=100 * MS)
+    relay.turn(io.EndpointUpdate(io.UpdateScope.FAILED, ()), after=100 * MS)
     relay.turn(after=2 * S)
     assert len(relay.of(io.Subscribe)) == 1
-    relay.turn(io.Roster(io.ListScope.CHANGES, ()), after=100 * MS)
+    relay.turn(io.EndpointUpdate(io.UpdateScope.DELTA, ()), after=100 * MS)
     relay.turn(after=30 * S)
     assert relay.of(io.Subscribe) == []
 
 
 def test_full_hold_sheds_what_earns_least() -> None:
-    relay = Relay(entry("a"), limits={"most_held": 20}, tenant_rates=(2.0, 100.0))
+    relay = Relay(entry("a"), limits={"max_held": 20}, tenant_quotas=(2.0, 100.0))
     relay.turn(*[relay.message(tenant=t) for t in [0] * 12 + [1] * 9])
-    shed = {a.call for a in relay.of(io.Refuse)}
+    shed = {a.message_id for a in relay.of(io.Reject)}
     assert shed and shed <= {f"m{i}" for i in range(3, 13)}  # past tenant 0's share
 
 
@@ -179,7 +179,7 @@
         relay.turn(relay.message(), after=5 * S)
         relay.try_all(io.Status.FULL, 1)
         relay.try_all(io.Status.OK, 1)
-    assert not relay.pacer.routes[1][0].out
+    assert not relay.pacer.routes[1][0].in_outage
 
 
 def test_broken_connections_among_answers_are_no_outage() -> None:
@@ -190,18 +190,18 @@
     dest = relay.pacer.routes[1][0]
     relay.turn(*[relay.message() for _ in range(4)], after=10 * MS)
     for send in relay.sends():
-        relay.turn(relay.verdict(send.call, io.Status.RESET), after=10 * MS)
-    assert not dest.out and dest.bad_from is None
+        relay.turn(relay.verdict(send.message_id, io.Status.RESET), after=10 * MS)
+    assert not dest.in_outage and dest.unhealthy_since is None
     relay.now += S
     relay.try_all(io.Status.RESET, 3)
-    assert dest.out
+    assert dest.in_outage
 
 
 def test_long_told_wait_means_shut_and_a_ramp_from_its_end() -> None:
     """All relays are told the same opening time; none may be there at once, none stays away for long."""
     starts = []
     for seed in range(30):
-        relay = Relay(entry("a", rate=6.0), relays=30, listed_rates=True, seed=seed)
+        relay = Relay(entry("a", rate=6.0), relays=30, uses_listed_rates=True, seed=seed)
         relay.turn(relay.message())
         relay.turn(relay.verdict("m1", io.Status.FULL, wait=8 * S), after=50 * MS)
         opens = relay.now + 8 * S
@@ -209,11 +209,14 @@
             relay.turn(after=100 * MS)
         starts.append(relay.now - opens)
     rules = relay.settings.rules
-    early = [t for t in starts if t < rules.fall]
-    share = rules.start_capacity + (1 - rules.start_capacity) * rules.fall / rules.ramp_time / 2
-    budget = rules.fall_multiple * share * 6.0 * rules.fall / S
+    early = [t for t in starts if t < rules.overload_window]
+    share = (
+        rules.slow_start_initial_share
+        + (1 - rules.slow_start_initial_share) * rules.overload_window / rules.slow_start_duration / 2
+    )
+    budget = rules.overload_multiple * share * 6.0 * rules.overload_window / S
     assert min(starts) >= 0 and len(early) <= budget
-    assert max(starts) <= rules.ramp_time and len(set(starts)) > 15
+    assert max(starts) <= rules.slow_start_duration and len(set(starts)) > 15
 
 
 @pytest.mark.parametrize("relays", [3, 60, 300])
@@ -221,7 +224,7 @@
     """Each relay paced itself as if alone: all tried again at once (ic3f29e, failback broken)."""
     trials: list[int] = []
     for seed in range(relays):
-        relay = Relay(entry("a", rate=6.0), relays=relays, listed_rates=True, seed=seed)
+        relay = Relay(entry("a", rate=6.0), relays=relays, uses_listed_rates=True, seed=seed)
         relay.turn(relay.message())
         relay.turn(relay.verdict("m1", io.Status.CONNECT_FAILED), after=50 * MS)
         failed = relay.now
@@ -229,7 +232,7 @@
             relay.turn(after=100 * MS)
         trials += [relay.now - failed] * len(relay.sends())
     rules = relay.settings.rules
-    budget = rules.fall_multiple * rules.start_capacity * 6.0
+    budget = rules.overload_multiple * rules.slow_start_initial_share * 6.0
     assert trials
     in_play = min(relays, 60)  # calls that can have come in within a ramp
     assert len(trials) / relays * in_play <= 18 * budget
@@ -241,11 +244,11 @@
     relay = Relay(entry("a"))
     relay.serve(400)
     dest = relay.pacer.routes[1][0]
-    assert len(dest.sent) <= 20 and len(dest.arrived) <= 20 and len(dest.served) <= 50
+    assert len(dest.send_times) <= 20 and len(dest.arrival_times) <= 20 and len(dest.success_times) <= 50
 
 
 def test_routes_of_one_destination_share_its_slots() -> None:
-    relay = Relay(entry("a", kind=1), entry("b", kind=1), slots=8)
+    relay = Relay(entry("a", kind=1), entry("b", kind=1), max_calls=8)
     relay.turn(*[relay.message() for _ in range(20)])
     assert len(relay.sends()) == 6
 
@@ -255,45 +258,48 @@
     many = Relay(entry("a"), relays=60)
     many.turn(many.message())
     many.turn(many.verdict("m1", io.Status.OK), after=100 * MS)
-    assert [a.host for a in many.of(io.Close)] == ["a"]
+    assert [a.endpoint for a in many.of(io.CloseIdleConnections)] == ["a"]
     few = Relay(entry("a"), relays=2)
     few.serve(5)
-    assert few.of(io.Close) == []
+    assert few.of(io.CloseIdleConnections) == []
 
 
 def test_second_refusal_with_most_of_the_limit_left_is_a_shut_destination() -> None:
     """A shut destination with a limit refuses with x0 near 1; it was taken for the limit (h2e20b5)."""
     for left, shut in ((0.95, True), (0.0, False)):
-        relay = Relay(entry("a", rate=6.0), relays=60, listed_rates=True)
+        relay = Relay(entry("a", rate=6.0), relays=60, uses_listed_rates=True)
         relay.turn(relay.message())
         dest = relay.pacer.routes[1][0]
         refused = 0
         for _ in range(300):
-            told = [relay.verdict(s.call, io.Status.FULL, report=io.Report(left, 6.0)) for s in relay.sends()]
+            told = [
+                relay.verdict(s.message_id, io.Status.FULL, report=io.LoadReport(left, 6.0))
+                for s in relay.sends()
+            ]
             refused += len(told)
             relay.turn(*told, after=100 * MS)
             if refused == 2:
                 break
-        assert refused == 2 and (dest.bad > 0) is shut
+        assert refused == 2 and (dest.failure_rate > 0) is shut
 
 
 def test_nothing_left_of_a_limit_rests_longer_than_a_little_left() -> None:
     """Where refused calls use up the limit x0 stays at 0, and second tries alone kept it there (h02fa29)."""
 
     def first_rest(left: float) -> float:
-        relay = Relay(entry("a", rate=6.0), relays=300, listed_rates=True)
+        relay = Relay(entry("a", rate=6.0), relays=300, uses_listed_rates=True)
         relay.turn(relay.message())
-        relay.turn(relay.verdict("m1", io.Status.FULL, report=io.Report(left, 6.0)), after=50 * MS)
-        return relay.pacer.routes[1][0].rest
+        relay.turn(relay.verdict("m1", io.Status.FULL, report=io.LoadReport(left, 6.0)), after=50 * MS)
+        return relay.pacer.routes[1][0].backoff
 
     assert first_rest(0.0) > 2 * first_rest(0.05)
 
 
 def test_refused_client_is_told_when_to_come_again_where_clients_are_told() -> None:
     for told in (True, False):
-        relay = Relay(entry("a"), limits={"most_held": 20, "retry_after": told})
+        relay = Relay(entry("a"), limits={"max_held": 20, "retry_after": told})
         relay.turn(*[relay.message() for _ in range(40)])
-        waits = [refusal.hold_off for refusal in relay.of(io.Refuse)]
+        waits = [refusal.retry_after for refusal in relay.of(io.Reject)]
         assert len(waits) >= 20
         assert all((0 < wait <= 2 * S) if told else wait == 0 for wait in waits)
 
@@ -304,40 +310,42 @@
     relay.serve(10)
     relay.turn(relay.message(), relay.message())
     silent, answered = relay.sends()
-    relay.turn(relay.verdict(answered.call, io.Status.OK, cost=300 * MS), after=300 * MS)
+    relay.turn(relay.verdict(answered.message_id, io.Status.OK, cost=300 * MS), after=300 * MS)
     relay.turn(after=200 * MS)  # overdue now: the mean is some 120 ms
-    assert next(iter(relay.pacer.calls)).blamed
+    assert next(iter(relay.pacer.calls)).counted_overdue
     dest = relay.pacer.routes[1][0]
-    assert dest.bad < 0.1 and dest.bad_from is None
+    assert dest.failure_rate < 0.1 and dest.unhealthy_since is None
     relay.turn(relay.message(), relay.message())
-    assert len(relay.sends()) == 2 and silent.host not in {send.host for send in relay.sends()}
+    assert len(relay.sends()) == 2 and silent.endpoint not in {send.endpoint for send in relay.sends()}
     for _ in relay.pacer.calls:
         relay.turn(after=3 * S)
-    assert dest.bad > 0.5  # none was answered
+    assert dest.failure_rate > 0.5  # none was answered
 
 
 def test_a_cut_leaves_no_credit_from_the_rate_before_it() -> None:
     """What the old rate would have let go by now must not go out at once under the new ceiling."""
-    relay = Relay(entry("a"), slots=16)
+    relay = Relay(entry("a"), max_calls=16)
     relay.serve(20)
     dest = relay.pacer.routes[1][0]
-    dest.mean = 800 * MS  # so that calls out do not bind
+    dest.mean_response_time = 800 * MS  # so that calls out do not bind
     relay.turn(*[relay.message() for _ in range(10)])
     calls = relay.sends()
-    relay.turn(*[relay.verdict(send.call, io.Status.FULL) for send in calls[:3]], after=100 * MS)
-    assert dest.ceiling is not None and relay.pacer.most_calls(dest) > 3
+    relay.turn(*[relay.verdict(send.message_id, io.Status.FULL) for send in calls[:3]], after=100 * MS)
+    assert dest.rate_limit is not None and relay.pacer.most_calls(dest) > 3
     relay.turn(*[relay.message() for _ in range(10)])
     # The rest, sent before, is answered well: nothing but the ceiling holds back the next.
-    relay.turn(*[relay.verdict(send.call, io.Status.OK, cost=800 * MS) for send in calls[3:]], after=10 * MS)
-    assert dest.refused_from is None and len(relay.sends()) == 1
+    relay.turn(
+        *[relay.verdict(send.message_id, io.Status.OK, cost=800 * MS) for send in calls[3:]], after=10 * MS
+    )
+    assert dest.throttled_since is None and len(relay.sends()) == 1
 
 
 # Guards against a turn that ends in an error where a spoilt answer reports a limit beyond any.
 def test_outage_of_a_destination_that_reports_a_limit_beyond_any_ends_no_turn() -> None:
     relay = Relay(entry("a"))
     relay.turn(relay.message())
-    relay.turn(relay.verdict("m1", io.Status.ERROR, report=io.Report(0.5, 1e300)), after=100 * MS)
+    relay.turn(relay.verdict("m1", io.Status.ERROR, report=io.LoadReport(0.5, 1e300)), after=100 * MS)
     for _ in range(40):
-        relay.turn(*[relay.verdict(send.call, io.Status.ERROR) for send in relay.sends()], after=S)
+        relay.turn(*[relay.verdict(send.message_id, io.Status.ERROR) for send in relay.sends()], after=S)
     relay.turn(relay.message(), after=S)
-    assert relay.pacer.routes[1][0].bad_from is not None
+    assert relay.pacer.routes[1][0].unhealthy_since is not None
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -18,7 +18,7 @@
 
 def ended(relay: Relay, status: io.Status, after: int) -> None:
     """All that is out ends so."""
-    out = [m.name for m in relay.pacer.messages.values() if m.call is not None]
+    out = [m.message_id for m in relay.pacer.messages.values() if m.call is not None]
     relay.turn(*[relay.verdict(call, status) for call in out], after=after)
 
 
@@ -39,7 +39,7 @@
 
 
 def test_failure_among_good_answers_is_no_outage() -> None:
-    relay = Relay(entry("a", rate=20.0), listed_rates=True)
+    relay = Relay(entry("a", rate=20.0), uses_listed_rates=True)
     relay.serve(10)
     relay.turn(relay.message(), after=100 * MS)
     ended(relay, io.Status.ERROR, after=10 * MS)
@@ -52,29 +52,33 @@
 def test_ramp_lasts_as_long_as_the_partner_may_be_cold() -> None:
     """It came back at any moment between the last failure and the answer: in the mean in the middle, but it
     may be cold for a whole ramp from the answer on. Until then what waits does not go at once."""
-    relay = Relay(entry("a", rate=8.0), listed_rates=True)
+    relay = Relay(entry("a", rate=8.0), uses_listed_rates=True)
     relay.turn(relay.message(), relay.message())
     ended(relay, io.Status.ERROR, after=100 * MS)
-    assert relay.pacer.routes[1][0].out
+    assert relay.pacer.routes[1][0].in_outage
     relay.turn(*[relay.message() for _ in range(60)], after=4 * S)
     ended(relay, io.Status.OK, after=100 * MS)
     back, rules = relay.now, relay.settings.rules
     sent: list[int] = []
-    while relay.now < back + rules.ramp_time - 100 * MS:
+    while relay.now < back + rules.slow_start_duration - 100 * MS:
         relay.turn(relay.message(), relay.message(), after=50 * MS)
         sent += [relay.now] * len(relay.sends())
         ended(relay, io.Status.OK, after=10 * MS)
         sent += [relay.now] * len(relay.sends())
-    most = rules.fall_multiple * 8.0 / relay.settings.relays * rules.fall / S  # calls in a span, warm
-    assert max(sum(first <= at < first + rules.fall for at in sent) for first in sent) <= most + 1
+    most = (
+        rules.overload_multiple * 8.0 / relay.settings.relays * rules.overload_window / S
+    )  # calls in a span, warm
+    assert max(sum(first <= at < first + rules.overload_window for at in sent) for first in sent) <= most + 1
 
 
-def refused_then_answered(wait: int, report: io.Report | None) -> Relay:
+def refused_then_answered(wait: int, report: io.LoadReport | None) -> Relay:
     """One refusal, all that a relay with few calls sees of it, and 4 s later a good answer."""
     relay = Relay(entry("a"), relays=30)
     relay.serve(2)
     relay.turn(relay.message(), after=4 * S)
-    relay.turn(relay.verdict(relay.sends()[0].call, io.Status.FULL, wait, report=report), after=100 * MS)
+    relay.turn(
+        relay.verdict(relay.sends()[0].message_id, io.Status.FULL, wait, report=report), after=100 * MS
+    )
     relay.turn(relay.message(), after=4 * S)
     ended(relay, io.Status.OK, after=100 * MS)
     return relay
@@ -86,18 +90,18 @@
     )
 
 
-@pytest.mark.parametrize(("wait", "report"), [(500 * MS, None), (0, io.Report(0.0, 5.0))])
-def test_refusal_that_a_limit_explains_is_no_outage(wait: int, report: io.Report | None) -> None:
+@pytest.mark.parametrize(("wait", "report"), [(500 * MS, None), (0, io.LoadReport(0.0, 5.0))])
+def test_refusal_that_a_limit_explains_is_no_outage(wait: int, report: io.LoadReport | None) -> None:
     relay = refused_then_answered(wait, report)
     assert not relay.pacer.slow_start.is_on(relay.pacer.routes[1][0], relay.now)
 
 
 def test_call_that_found_the_partner_back_is_one_of_the_ramp() -> None:
     """The next call waits until this relay's part of what the partner may get has grown by a whole one, where
-    that part is under a call in ``fall``: thirty relays for 8 calls a second. The sum of fleets whose relays
-    have more is judged below."""
+    that part is under a call in ``overload_window``: thirty relays for 8 calls a second. The sum of fleets
+    whose relays have more is judged below."""
     for seed in range(20):
-        relay = Relay(entry("a", rate=8.0), seed=seed, listed_rates=True, relays=30)
+        relay = Relay(entry("a", rate=8.0), seed=seed, uses_listed_rates=True, relays=30)
         relay.turn(relay.message(), relay.message())
         ended(relay, io.Status.ERROR, after=100 * MS)
         relay.turn(*[relay.message() for _ in range(9)], after=4 * S)
@@ -105,14 +109,18 @@
             relay.turn(after=100 * MS)
         ended(relay, io.Status.OK, after=100 * MS)
         dest, rules, back = relay.pacer.routes[1][0], relay.settings.rules, relay.now
-        assert dest.ramp_from is not None and not dest.out
+        assert dest.slow_start_began_at is not None and not dest.in_outage
         for _ in range(1000):
             if relay.sends():
                 break
             relay.turn(after=20 * MS)
         assert relay.sends()
-        grown = min(1.0, (relay.now - dest.ramp_from) / rules.ramp_time) * (1 - rules.start_capacity)
-        part = rules.fall_multiple * 8.0 / relay.settings.relays * (rules.start_capacity + grown)
+        grown = min(1.0, (relay.now - dest.slow_start_began_at) / rules.slow_start_duration) * (
+            1 - rules.slow_start_initial_share
+        )
+        part = (
+            rules.overload_multiple * 8.0 / relay.settings.relays * (rules.slow_start_initial_share + grown)
+        )
         assert part * (relay.now - back) / S >= 1.0, seed
 
 
@@ -129,9 +137,9 @@
 @pytest.mark.parametrize("relays", [2, 6, 20, 30])
 def test_cold_partner_keeps_standing_under_the_sum_of_a_fleet(relays: int) -> None:
     """In 200 outages (five kinds, four capacities, with and without listed rates, all classes, uneven
-    traffic) the share of those in which some span of ``fall`` brings more than N + 2 sqrt(N) + 2 calls and
-    probes is under 6%, and of those where over two thirds of them came from relays told of the outage under
-    4%, both with 95% confidence."""
+    traffic) the share of those in which some span of ``overload_window`` brings more than N + 2 sqrt(N) + 2
+    calls and probes is under 6%, and of those where over two thirds of them came from relays told of the
+    outage under 4%, both with 95% confidence."""
     over = told = plays = 0
     for seed in range(5):
         for number, outage in enumerate(OUTAGES):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -242,7 +242,7 @@
         (
             503,
             [(b"X-Server-Load", b"x0=0.4,x1=25")],
-            connection_pool.Outcome(io.Status.FULL, report=io.Report(0.4, 25)),
+            connection_pool.Outcome(io.Status.FULL, report=io.LoadReport(0.4, 25)),
         ),
         (500, [(b"X-Server-Load", b"x0=nan,x1=?")], connection_pool.Outcome(io.Status.ERROR)),
     ],
@@ -461,7 +461,7 @@
     (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].held)
     dest, host = field.relays[0].pacer.hosts["s-1"]
-    assert (dest.bad_at == 0) is answered and (host.bad == 0.0) is answered
+    assert (dest.last_bad_outcome_at == 0) is answered and (host.failure_rate == 0.0) is answered
 
 
 @pytest.mark.parametrize(("error", "attempts"), [(ConnectionResetError, 1), (ConnectionRefusedError, 2)])
@@ -523,15 +523,15 @@
 
     def drained_meanwhile(exchange: connection_pool.Attempt) -> None:
         begin(exchange)
-        pacer.hosts[exchange.host][1].usable = False
+        pacer.hosts[exchange.host][1].available = False
 
     net.begin = drained_meanwhile  # type: ignore[method-assign]
     await client.enqueue("m1", "unsafe")
     await until(lambda: pacer.messages["m1"].attempts == 1 and pacer.messages["m1"].call is None)
     assert field.relays[0].journal.entries["m1"].attempts == 0 and field.host.calls.empty()
     net.begin = begin  # type: ignore[method-assign]
-    pacer.hosts["s-1"][1].usable = True
-    field.relays[0]._post(io.Alarm(0))
+    pacer.hosts["s-1"][1].available = True
+    field.relays[0]._post(io.TimerExpired(0))
     (await field.host.next_call()).answer(200)
 
 
@@ -627,7 +627,7 @@
     first.raw(b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 700\r\nContent-Length: 9\r\n\r\n")
     told = time.monotonic()
     dest = field.relays[0].pacer.routes[3][0]
-    await until(lambda: dest.wait_until > 0)
+    await until(lambda: dest.retry_after_until > 0)
     assert field.relays[0].held["m1"].exchange is not None  # the rest may still come
     await client.enqueue("m2")
     first.break_off()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -139,25 +139,25 @@
     """Two bad calls: an outage, one trial at a time."""
     relay.turn(relay.message(SAFE), relay.message(SAFE))
     for send in relay.sends():
-        relay.turn(relay.verdict(send.call, io.Status.TIMEOUT), after=50 * MS)
-    assert relay.pacer.routes[1][0].out
+        relay.turn(relay.verdict(send.message_id, io.Status.TIMEOUT), after=50 * MS)
+    assert relay.pacer.routes[1][0].in_outage
 
 
 def test_a_cold_partner_gets_owed_calls_at_its_own_pace_only() -> None:
-    relay = Relay(entry("a", rate=4.0), listed_rates=True)
+    relay = Relay(entry("a", rate=4.0), uses_listed_rates=True)
     trouble(relay)
-    relay.turn(*[recovered(f"r{n}", SAFE, patience=15 * S) for n in range(6)])
+    relay.turn(*[recovered(f"r{n}", SAFE, time_left=15 * S) for n in range(6)])
     sent: dict[str, int] = {}
     out: list[io.Send] = []
     for _ in range(1490):
-        over = [send for send in out if send.stop_at <= relay.now]
+        over = [send for send in out if send.deadline <= relay.now]
         out = [send for send in out if send not in over]
-        relay.turn(*[relay.verdict(send.call, io.Status.TIMEOUT) for send in over], after=10 * MS)
+        relay.turn(*[relay.verdict(send.message_id, io.Status.TIMEOUT) for send in over], after=10 * MS)
         out += relay.sends()
         for send in relay.sends():
-            sent.setdefault(send.call, relay.now)
+            sent.setdefault(send.message_id, relay.now)
     rules, listed = relay.settings.rules, 4.0 / relay.settings.relays
-    pace = rules.fall_multiple * rules.start_capacity * listed
+    pace = rules.overload_multiple * rules.slow_start_initial_share * listed
     assert {f"r{n}" for n in range(6)} <= set(sent)
     times = sorted(at for call, at in sent.items() if call.startswith("r"))
     for first, last in zip(times, times[3:], strict=False):
@@ -165,55 +165,57 @@
 
 
 def test_owed_message_is_neither_shed_nor_handed_back_while_its_partner_is_shut() -> None:
-    relay = Relay(entry("a"), limits={"most_held": 10})
+    relay = Relay(entry("a"), limits={"max_held": 10})
     relay.turn(relay.message(SAFE))
     relay.turn(relay.verdict("m1", io.Status.FULL, wait=3 * S))
     newcomers = [relay.message(SAFE, patience=2 * S) for _ in range(12)]
-    relay.turn(recovered("r", SAFE, patience=4 * S), *newcomers)
-    assert "r" not in {a.call for a in relay.of(io.Refuse)} and relay.of(io.Refuse)
+    relay.turn(recovered("r", SAFE, time_left=4 * S), *newcomers)
+    assert "r" not in {a.message_id for a in relay.of(io.Reject)} and relay.of(io.Reject)
     sent = []
     for _ in range(45):
         relay.turn(after=100 * MS)
-        sent += [send.call for send in relay.sends()]
+        sent += [send.message_id for send in relay.sends()]
     assert "r" in sent
 
 
 def test_message_that_no_next_life_could_send_goes_before_the_end() -> None:
     relay = Relay(entry("a"))
-    relay.turn(io.Stopping(relay.now + 3 * S, relay.now + 5 * S))  # no call has been measured: the aim is 2 s
+    relay.turn(
+        io.ShutdownStarted(relay.now + 3 * S, relay.now + 5 * S)
+    )  # no call has been measured: the aim is 2 s
     relay.turn(relay.message(UNSAFE, patience=4 * S), relay.message(UNSAFE, patience=20 * S), after=2 * S)
-    assert [send.call for send in relay.sends()] == ["m1"]
+    assert [send.message_id for send in relay.sends()] == ["m1"]
 
 
 def test_right_to_send_that_is_passed_on_leaves_no_last_call() -> None:
     relay = Relay(entry("a"))
-    relay.turn(io.Stopping(relay.now, relay.now), relay.message(UNSAFE, patience=S))
+    relay.turn(io.ShutdownStarted(relay.now, relay.now), relay.message(UNSAFE, patience=S))
     assert relay.sends() == []
 
 
 def test_owed_message_is_not_held_to_its_end_by_our_own_pace() -> None:
     """Refused without a wait, again and again: the ceiling and the rests would keep all but a few."""
-    relay = Relay(entry("a", rate=60.0), listed_rates=True)
+    relay = Relay(entry("a", rate=60.0), uses_listed_rates=True)
     relay.serve(3)
     for _ in range(4):
         relay.turn(*[relay.message(SAFE) for _ in range(3)], after=50 * MS)
-        relay.turn(*[relay.verdict(send.call, io.Status.FULL) for send in relay.sends()], after=10 * MS)
-    assert relay.pacer.routes[1][0].ceiling is not None
-    relay.turn(*[recovered(f"r{n}", SAFE, patience=5 * S) for n in range(20)])
+        relay.turn(*[relay.verdict(send.message_id, io.Status.FULL) for send in relay.sends()], after=10 * MS)
+    assert relay.pacer.routes[1][0].rate_limit is not None
+    relay.turn(*[recovered(f"r{n}", SAFE, time_left=5 * S) for n in range(20)])
     sent, ended = set(), set()
     for _ in range(500):
-        relay.turn(*[relay.verdict(send.call, io.Status.FULL) for send in relay.sends()], after=10 * MS)
-        sent |= {send.call for send in relay.sends()}
-        ended |= {a.call for a in relay.of(io.Refuse)} - sent
+        relay.turn(*[relay.verdict(send.message_id, io.Status.FULL) for send in relay.sends()], after=10 * MS)
+        sent |= {send.message_id for send in relay.sends()}
+        ended |= {a.message_id for a in relay.of(io.Reject)} - sent
     assert {f"r{n}" for n in range(20)} <= sent and not {call for call in ended if call.startswith("r")}
 
 
 def test_each_is_tried_once_before_any_twice_where_nothing_connects() -> None:
-    relay = Relay(entry("a", rate=40.0), listed_rates=True)
-    relay.turn(*[recovered(f"r{n}", SAFE, patience=8 * S + n * MS) for n in range(20)])
-    tried = [send.call for send in relay.sends()]
+    relay = Relay(entry("a", rate=40.0), uses_listed_rates=True)
+    relay.turn(*[recovered(f"r{n}", SAFE, time_left=8 * S + n * MS) for n in range(20)])
+    tried = [send.message_id for send in relay.sends()]
     while len(tried) < 20:
-        failed = [relay.verdict(send.call, io.Status.CONNECT_FAILED) for send in relay.sends()]
+        failed = [relay.verdict(send.message_id, io.Status.CONNECT_FAILED) for send in relay.sends()]
         relay.turn(*failed, after=50 * MS)
-        tried += [send.call for send in relay.sends()]
+        tried += [send.message_id for send in relay.sends()]
     assert set(tried) == {f"r{n}" for n in range(20)}
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,7 +13,7 @@
 from tests.test_ramp import upper_bound
 
 KINDS = (*OUTAGES, *HANGING)
-RULES = {"fall": 3 * S // 2, "ramp_time": 12 * S}
+RULES = {"overload_window": 3 * S // 2, "slow_start_duration": 12 * S}
 FLEETS = (2, 7, 20, 48)
 CAPACITIES = (13.0, 55.0)  # calls a second, warm
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -117,7 +117,7 @@
         assert await client.enqueue(f"m{count}", "unsafe") == b"OK"
     await until(lambda: failing.failed >= 20)
     dest = pacer.routes[3][0]
-    assert (dest.bad, dest.hosts[0].bad, dest.out) == (0.0, 0.0, False)
+    assert (dest.failure_rate, dest.endpoints[0].failure_rate, dest.in_outage) == (0.0, 0.0, False)
     failing.number = None
     for _ in range(3):
         (await field.host.next_call()).answer(200)
@@ -134,7 +134,7 @@
     FailingConnects(monkeypatch, number)
     assert await client.enqueue("m1", "unsafe") == b"OK"
     dest = field.relays[0].pacer.routes[3][0]
-    await until(lambda: dest.bad > 0)
+    await until(lambda: dest.failure_rate > 0)
 
 
 async def test_look_at_a_socket_that_fails_is_taken_for_the_harder_case(
@@ -206,4 +206,9 @@
         (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].held)
     dest = field.relays[0].pacer.routes[3][0]
-    assert (left[0], dest.bad, dest.hosts[0].bad, dest.failed_at) == (0, 0.0, 0.0, 0)
+    assert (left[0], dest.failure_rate, dest.endpoints[0].failure_rate, dest.last_failure_at) == (
+        0,
+        0.0,
+        0.0,
+        0,
+    )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -158,13 +158,13 @@
     old.turn(*[old.message() for _ in range(6)], after=S)
     old.try_all(io.Status.FULL, 4)
     old.turn(old.message(dest=2))
-    old.turn(old.verdict(old.sends()[0].call, io.Status.FULL, wait=3 * S))
-    ceiling = old.pacer.routes[1][0].ceiling
+    old.turn(old.verdict(old.sends()[0].message_id, io.Status.FULL, wait=3 * S))
+    ceiling = old.pacer.routes[1][0].rate_limit
     assert ceiling is not None
     new = Relay(entry("a"), entry("b", dest=2), seed=8)
     new.now = old.now
-    new.turn(io.Learned(json.loads(json.dumps(old.pacer.learned()))))
-    assert new.pacer.routes[1][0].ceiling == ceiling
+    new.turn(io.PredecessorState(json.loads(json.dumps(old.pacer.learned()))))
+    assert new.pacer.routes[1][0].rate_limit == ceiling
     new.turn(new.message(dest=2))
     assert not new.sends()
     new.turn(after=2900 * MS)
@@ -172,11 +172,13 @@
 
 
 def test_overheard_wait_and_calls_elsewhere_hold_back_sends() -> None:
-    new = Relay(entry("a"), slots=2)
-    new.turn(io.Elsewhere(2))
+    new = Relay(entry("a"), max_calls=2)
+    new.turn(io.PredecessorCalls(2))
     new.turn(new.message())
     assert not new.sends()
-    new.turn(io.Elsewhere(0), io.Overheard("a", io.Status.FULL, new.now - S, S, 2 * S, False))
+    new.turn(
+        io.PredecessorCalls(0), io.PredecessorCallEnded("a", io.Status.FULL, new.now - S, S, 2 * S, False)
+    )
     assert not new.sends()
     new.turn(after=1900 * MS)
     assert not new.sends()
@@ -188,9 +190,9 @@
     old = Relay(entry("a"))
     old.turn(old.message())
     [send] = old.sends()
-    assert old.pacer.clear_to_send(old.now, send.call, "a")
-    old.turn(io.Stopping(old.now, old.now), old.message())
-    assert not old.sends() and not old.pacer.clear_to_send(old.now, send.call, "a")
+    assert old.pacer.clear_to_send(old.now, send.message_id, "a")
+    old.turn(io.ShutdownStarted(old.now, old.now), old.message())
+    assert not old.sends() and not old.pacer.clear_to_send(old.now, send.message_id, "a")
 
 
 def test_what_another_version_learned_is_taken_as_far_as_it_is_known() -> None:
@@ -203,9 +205,9 @@
     facts["dests"]["a"] |= {"weather": 3, "hosts": ["b"], "calls": [1]}
     del facts["dests"]["a"]["mean"]
     facts["hosts"]["a"].append("later")
-    new.turn(io.Learned(facts))
+    new.turn(io.PredecessorState(facts))
     facts["hosts"]["a"] = facts["hosts"]["a"][:2]
-    new.turn(io.Learned(facts))
+    new.turn(io.PredecessorState(facts))
     (dest,) = new.pacer.routes[1]
-    assert dest.wait_until == old.pacer.routes[1][0].wait_until
-    assert [host.name for host in dest.hosts] == ["a"] and not dest.calls and not hasattr(dest, "weather")
+    assert dest.retry_after_until == old.pacer.routes[1][0].retry_after_until
+    assert [host.name for host in dest.endpoints] == ["a"] and not dest.calls and not hasattr(dest, "weather")
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -141,7 +141,7 @@
         assert call.headers["x-request-id"] == ref
         call.answer(200)
     watch.line(listing(43, {**moved, "weight": 20.0}))
-    await until(lambda: one.pacer.routes[4][0].listed == 20.0)
+    await until(lambda: one.pacer.routes[4][0].listed_rate == 20.0)
     await other.stop()
 
 
