--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -37,7 +37,7 @@
 from garnetrelay import discovery
 from garnetrelay.catalog import Catalog
 from garnetrelay.clock import monotonic_ms
-from garnetrelay.journal import Entry, Journal
+from garnetrelay.journal import JournalEntry, Journal
 from starlingwick import interface as io
 from starlingwick.control import Pacer
 from starlingwick.settings import parse_settings
@@ -543,7 +543,7 @@
     journal = Journal(process.state, 4_000_000_000)
     deadline = monotonic_ms() + 600_000
     for i in range(size):
-        journal.taken(Entry(f"m{i:015x}", "event", i % 66, f"k{i:015x}", deadline, BODY))
+        journal.accept(JournalEntry(f"m{i:015x}", "event", i % 66, f"k{i:015x}", deadline, BODY))
     disk = journal.size / 1e6
     journal.close()
     process.start()
@@ -619,7 +619,7 @@
     """The list read and taken over by reader, catalog and Pacer alone; then 2,000 messages at random."""
     text = listing(1, True, endpoints(size, seed)) + b"\n"
     at_start, start, catalog = resident_here(), time.process_time(), Catalog()
-    lines = discovery.Lines(discovery.Reader(Names, catalog.stage))  # type: ignore[arg-type]
+    lines = discovery.LineReader(discovery.EntryParser(Names, catalog.stage))  # type: ignore[arg-type]
     (news,) = (news for at in range(0, len(text), PIECE) for news in lines.feed(text[at : at + PIECE]))
     read = time.process_time() - start
     pacer, start = Pacer(settings(), seed), time.process_time()
@@ -634,7 +634,7 @@
         now += SECOND // 500
         dest = draw.randrange(size)
         batch: list[io.Event] = [io.MessageArrived(f"m{i}", 0, 0, dest, f"k{i}", 24 * SECOND)]
-        if dest not in pacer.introduced:
+        if dest not in pacer.loaded_destinations:
             batch.insert(0, io.DestinationLoaded(dest, tuple(one.entry() for one in catalog.find(dest))))
         if len(out) > 100:
             sent = out.pop(0)
@@ -795,14 +795,14 @@
     """So many messages on record: to write and end one more, to write the file anew, and to read it."""
     kept = Journal(folder, 16_000_000_000)
     for i in range(size):
-        kept.taken(Entry(f"m{i:015x}", "event", i % 160_000, f"k{i:015x}", 1 << 41, BODY))
+        kept.accept(JournalEntry(f"m{i:015x}", "event", i % 160_000, f"k{i:015x}", 1 << 41, BODY))
     disk, before, start, times, passes = kept.size, kept.size, time.process_time(), [], 2000
     for i in range(passes):
         begun = time.process_time()
-        kept.taken(Entry(f"n{i:015x}", "event", i % 160_000, f"k{i:015x}", 1 << 41, BODY))
-        kept.trying(f"n{i:015x}", "z01", 1 << 41)
-        kept.outcome(f"n{i:015x}", False)
-        kept.ended(f"n{i:015x}", None)
+        kept.accept(JournalEntry(f"n{i:015x}", "event", i % 160_000, f"k{i:015x}", 1 << 41, BODY))
+        kept.record_attempt_start(f"n{i:015x}", "z01", 1 << 41)
+        kept.record_outcome(f"n{i:015x}", False)
+        kept.record_finish(f"n{i:015x}", None)
         times.append(time.process_time() - begun)
     written, each = kept.size - before, (time.process_time() - start) / passes
     start = time.process_time()
--- a/garnetrelay/__main__.py
+++ b/garnetrelay/__main__.py
@@ -10,7 +10,7 @@
 import sys
 
 from garnetrelay.config import Config, ConfigError, load, load_discovery
-from garnetrelay.management import AdminServer, routes
+from garnetrelay.management import AdminServer, build_routes
 from garnetrelay.relay import Relay
 
 log = logging.getLogger("garnetrelay")
@@ -23,24 +23,24 @@
     relay = Relay(config)
     loop = asyncio.get_running_loop()
     admin = AdminServer(
-        routes(
+        build_routes(
             relay.health,
             relay.metrics,
             drain=lambda: loop.call_soon_threadsafe(relay.drain),
-            undrain=lambda: loop.call_soon_threadsafe(relay.undrain),
+            undrain=lambda: loop.call_soon_threadsafe(relay.resume),
         ),
         config.sockets,
     )
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, relay.stop)
+        loop.add_signal_handler(number, relay.shutdown)
     loop.add_signal_handler(signal.SIGHUP, reload, relay)
     try:
-        if config.mgmt is not None:
-            log.info("operators' door on %s port %d", *admin.start(config.mgmt))
+        if config.management_address is not None:
+            log.info("operators' door on %s port %d", *admin.start(config.management_address))
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         await relay.start()
         await relay.finished.wait()
-        await relay.end()
+        await relay.finish_connections()
     finally:
         admin.close()
         relay.close()
@@ -49,7 +49,7 @@
 def reload(relay: Relay) -> None:
     """Take over what of the configuration may change in service; one that can't be read changes nothing."""
     try:
-        relay.move(load_discovery(os.environ))
+        relay.change_discovery_address(load_discovery(os.environ))
     except ConfigError as error:
         log.error("the configuration stays as it was: %s", error)
 
--- a/garnetrelay/catalog.py
+++ b/garnetrelay/catalog.py
@@ -18,7 +18,7 @@
 HEAD = struct.Struct("<HHBdqHHH")
 AVAILABILITIES = (io.Availability.RUNNING, io.Availability.STOPPING, io.Availability.DELETED)
 NUMBERS = {availability: number for number, availability in enumerate(AVAILABILITIES)}
-LONG = 20_000  # entries; reading fewer takes little
+LARGE_LIST_ENTRIES = 20_000  # entries; reading fewer takes little
 DRAINING = NUMBERS[io.Availability.STOPPING]
 
 
@@ -27,7 +27,7 @@
     """One line of the list."""
 
     name: str
-    dest: int
+    destination: int
     zone: int
     kind: int
     availability: io.Availability
@@ -38,7 +38,7 @@
     def entry(self, availability: io.Availability | None = None) -> io.EndpointEntry:
         """In the Pacer's terms."""
         return io.EndpointEntry(
-            self.name, self.zone, self.kind, self.dest, availability or self.availability, self.rate
+            self.name, self.zone, self.kind, self.destination, availability or self.availability, self.rate
         )
 
 
@@ -48,26 +48,26 @@
     def __init__(self, held: Mapping[int, bytes]) -> None:
         self._held = held
         self.packed: dict[int, bytes] = {}
-        self.dest_of: dict[str, int] = {}
-        self.gone = 0
+        self.destination_of: dict[str, int] = {}
+        self.removed_count = 0
         self.draining = 0
         self.size = 0  # bytes of what is not shared, roughly
 
     def add(self, endpoint: Endpoint) -> None:
         """ValueError where a number or a name does not fit its place."""
-        name, dest = endpoint.name, endpoint.dest
-        if name in self.dest_of:  # named twice: the last one counts
-            before = self.packed[self.dest_of[name]]
-            self.packed[self.dest_of[name]] = _without(before, name)
-            self.draining += draining(self.packed[self.dest_of[name]]) - draining(before)
+        name, dest = endpoint.name, endpoint.destination
+        if name in self.destination_of:  # named twice: the last one counts
+            before = self.packed[self.destination_of[name]]
+            self.packed[self.destination_of[name]] = _without(before, name)
+            self.draining += draining(self.packed[self.destination_of[name]]) - draining(before)
         packed = self.packed.get(dest, b"") + _pack(endpoint)
         if packed == self._held.get(dest):
             packed = self._held[dest]
         else:
             self.size += len(packed)
         self.packed[dest] = packed
-        self.dest_of[name] = dest
-        self.gone += endpoint.availability is io.Availability.DELETED
+        self.destination_of[name] = dest
+        self.removed_count += endpoint.availability is io.Availability.DELETED
         self.draining += endpoint.availability is io.Availability.STOPPING
 
     def __iter__(self) -> Iterator[Endpoint]:
@@ -113,12 +113,12 @@
         self.version = version
         if not whole:
             return self._change(staged)
-        if staged.gone:
+        if staged.removed_count:
             changes, staged = staged, self.stage()
             for endpoint in changes:
                 if endpoint.availability is not io.Availability.DELETED:
                     staged.add(endpoint)
-        before, self.packed, self._dest_of = self.packed, staged.packed, staged.dest_of
+        before, self.packed, self._dest_of = self.packed, staged.packed, staged.destination_of
         self.draining = staged.draining
         self._past.update(before.keys() - self.packed.keys())
         touched = {dest for dest, packed in self.packed.items() if packed is not before.get(dest)}
@@ -136,7 +136,7 @@
     def _change(self, staged: Staged) -> set[int]:
         touched = set()
         for endpoint in staged:
-            name, dest = endpoint.name, endpoint.dest
+            name, dest = endpoint.name, endpoint.destination
             touched.add(dest)
             before = self._dest_of.get(name)
             if before is not None and (before != dest or endpoint.availability is io.Availability.DELETED):
@@ -156,7 +156,7 @@
             self._past.add(dest)
 
 
-def give_back() -> None:
+def release_free_memory() -> None:
     """What reading a long list has taken and freed goes back to the machine: the C library may keep it, some
     tens of megabytes, and it counts as ours."""
     import ctypes  # here, as most relays never need it
--- a/garnetrelay/clients.py
+++ b/garnetrelay/clients.py
@@ -21,8 +21,8 @@
 MOST_BODY = 64 * 1024
 MOST_COMMAND = MOST_BODY + 16 * 1024  # a command with all its framing
 FIRST_REQUEST = 0.5  # seconds in which who has just connected or asked may still have something under way
-REQUEST_TIME = 2.5  # seconds for a whole request to come: a peer is owed an answer or a close within 3
-IDLE_TIME = 2.0  # seconds without a request after which a connection may be closed to make room
+REQUEST_TIMEOUT = 2.5  # seconds for a whole request to come: a peer is owed an answer or a close within 3
+IDLE_TIMEOUT = 2.0  # seconds without a request after which a connection may be closed to make room
 LAST_WORD = 0.1  # seconds for an answer just written to reach its client before the connection is gone
 LOOK_AGAIN = 0.05  # seconds until what lies unread on an overdue connection has been looked at
 LINGER = 1.0  # seconds in which a client that is shut out may still read why
@@ -36,7 +36,7 @@
 SLICE = 16 * 1024  # bytes parsed at a time: what one command leaves unread stays small
 
 
-class Rejected(ValueError):
+class InvalidRequest(ValueError):
     """A request that cannot be understood; the text goes to the client."""
 
 
@@ -44,11 +44,11 @@
 class Request:
     """A message that a client hands in."""
 
-    ref: str
-    klass: str
-    dest: int
+    message_id: str
+    class_name: str
+    destination: int
     key: str | None
-    patience_ms: int
+    time_left_ms: int
     body: bytes
 
 
@@ -62,17 +62,17 @@
         self.data: bytes | None = None
 
     @property
-    def wanted(self) -> bool:
+    def is_deliverable(self) -> bool:
         """Whether its client is still there to hear it, and sent nothing unreadable behind it."""
         return not self._connection.lost and not self._connection.closing
 
-    def ok(self) -> None:
+    def accept(self) -> None:
         self._set(b"+OK\r\n")
 
-    def busy(self, wait_ms: int) -> None:
+    def reject(self, wait_ms: int) -> None:
         self._set(b"-BUSY %d\r\n" % wait_ms if wait_ms else b"-BUSY\r\n")
 
-    def error(self, text: str) -> None:
+    def fail(self, text: str) -> None:
         self._set(b"-ERR %s\r\n" % " ".join(text.split()).encode("ascii", "replace")[:200])
 
     def pong(self, payload: bytes | None) -> None:
@@ -87,54 +87,54 @@
             self._connection.drop()
 
 
-Handler = Callable[[Request, Reply], None]  # may raise Rejected
+Handler = Callable[[Request, Reply], None]  # may raise InvalidRequest
 
 
 def parse_enqueue(words: list[bytes]) -> Request:
     """A request from the words of its command."""
     if len(words) != 5:
-        raise Rejected("wrong number of arguments for 'ENQUEUE'")
+        raise InvalidRequest("wrong number of arguments for 'ENQUEUE'")
     values: dict[str, str] = {}
     for part in _text(words[3], 1024, "list").split(","):
         name, equals, value = part.partition("=")
         if not equals:
-            raise Rejected(f"'{part[:40]}' is not name=value")
+            raise InvalidRequest(f"'{part[:40]}' is not name=value")
         values[name] = value
     if len(words[4]) > MOST_BODY:
-        raise Rejected("body over 64 KiB")
+        raise InvalidRequest("body over 64 KiB")
     for name in ("c", "d", "dest"):
         if name not in values:
-            raise Rejected(f"'{name}' is missing")
+            raise InvalidRequest(f"'{name}' is missing")
     patience = _whole_number(values["d"], "d")
     if not patience:
-        raise Rejected("'d' must be above 0")
+        raise InvalidRequest("'d' must be above 0")
     key = values.get("k")
     return Request(
-        ref=_header_word(_text(words[2], 200, "id"), "id"),
-        klass=values["c"],
-        dest=_whole_number(values["dest"], "dest"),
+        message_id=_header_word(_text(words[2], 200, "id"), "id"),
+        class_name=values["c"],
+        destination=_whole_number(values["dest"], "dest"),
         key=None if key is None else _header_word(key, "k"),
-        patience_ms=patience,
+        time_left_ms=patience,
         body=words[4],
     )
 
 
 def _text(word: bytes, most: int, what: str) -> str:
     if not word.isascii() or len(word) > most:
-        raise Rejected(f"unreadable {what}")
+        raise InvalidRequest(f"unreadable {what}")
     return word.decode("ascii")
 
 
 def _header_word(text: str, what: str) -> str:
     # It goes into an HTTP header unchanged: a space or a control character there would be another header.
     if not text or any(not "!" <= c <= "~" for c in text):
-        raise Rejected(f"unreadable {what}")
+        raise InvalidRequest(f"unreadable {what}")
     return text
 
 
 def _whole_number(text: str, what: str) -> int:
     if not text.isascii() or not text.isdigit() or len(text) > 9:
-        raise Rejected(f"'{what}' is no whole number in range")
+        raise InvalidRequest(f"'{what}' is no whole number in range")
     return int(text)
 
 
@@ -151,7 +151,7 @@
     def __init__(self, server: Server) -> None:
         self.server = server
         self.buffer = server.buffer
-        self.reader = hiredis.Reader(protocolError=Rejected, replyError=Rejected)
+        self.reader = hiredis.Reader(protocolError=InvalidRequest, replyError=InvalidRequest)
         self.unread = bytearray()  # of a command that has not come whole
         self.more: bool = False  # of what has been read, a part has not been looked at
         self.replies: deque[Reply] = deque()
@@ -168,7 +168,7 @@
         self.transport = transport
         if not self.server.make_room():
             self.fail("too many connections", busy=True)
-            if len(self.server.connections) >= self.server.most + MOST_SHUT_OUT:
+            if len(self.server.connections) >= self.server.max_connections + MOST_SHUT_OUT:
                 transport.abort()
         self.server.connections[self] = None
         self.quiet_from = asyncio.get_running_loop().time()
@@ -181,7 +181,7 @@
 
     def _await_request(self, seconds: float | None = None) -> None:
         if self.timer is None and not self.closing:
-            wait = REQUEST_TIME if seconds is None else seconds
+            wait = REQUEST_TIMEOUT if seconds is None else seconds
             self.timer = asyncio.get_running_loop().call_later(wait, self._overdue)
 
     def _overdue(self) -> None:
@@ -190,7 +190,7 @@
         if self.unread:
             self.fail("no whole request in time")
         elif self.close_between_requests():
-            self.server.silent += 1
+            self.server.closed_unused_count += 1
         else:
             self._await_request(LOOK_AGAIN)  # something has just come: its time is up all the same
 
@@ -227,7 +227,7 @@
             while (words := self.reader.gets()) is not False:
                 self._strip(words)
                 self._command(words)
-        except (Rejected, hiredis.HiredisError, MemoryError) as error:
+        except (InvalidRequest, hiredis.HiredisError, MemoryError) as error:
             self.fail(f"Protocol error: {error}")  # framing is lost: nothing behind it can be read
             return
         if len(self.unread) > MOST_COMMAND:
@@ -239,10 +239,10 @@
         """Take a command off what is unread. The parser passes over the two bytes behind a bulk string,
         whatever they are: only what the words would be written as again is their proper framing."""
         if not isinstance(words, list) or not words or not all(isinstance(word, bytes) for word in words):
-            raise Rejected("a command is an array of bulk strings")
+            raise InvalidRequest("a command is an array of bulk strings")
         framed = hiredis.pack_command(tuple(words))
         if not self.unread.startswith(framed):
-            raise Rejected("a length does not fit its string")
+            raise InvalidRequest("a length does not fit its string")
         del self.unread[: len(framed)]
 
     def _command(self, words: list[bytes]) -> None:
@@ -255,16 +255,16 @@
             if name == b"ENQUEUE":
                 self.server.handler(parse_enqueue(words), reply)
             elif name == b"PING" and len(words) <= 2:
-                if self.server.sending_away:
-                    reply.error("drained")
+                if self.server.rejecting_clients:
+                    reply.fail("drained")
                 else:
                     reply.pong(words[1] if len(words) == 2 else None)
             else:
-                raise Rejected(f"unknown command '{words[0][:40].decode('ascii', 'replace')}'")
+                raise InvalidRequest(f"unknown command '{words[0][:40].decode('ascii', 'replace')}'")
             self.rejected = 0
-        except Rejected as error:
+        except InvalidRequest as error:
             log.info("client request not understood: %s", error)
-            reply.error(str(error))
+            reply.fail(str(error))
             self.rejected += 1
             if self.rejected >= MOST_REJECTED:
                 self.fail("nothing but requests that make no sense")
@@ -293,9 +293,9 @@
             reply = Reply(self)
             self.replies.append(reply)
             if busy:
-                reply.busy(0)
+                reply.reject(0)
             else:
-                reply.error(text)
+                reply.fail(text)
 
     def drop(self) -> None:
         if self.transport is not None:
@@ -343,13 +343,13 @@
 
     def __init__(self, handler: Handler, most: int) -> None:
         self.handler = handler
-        self.most = most
+        self.max_connections = most
         self.buffer = new_buffer()
         self.connections: dict[Connection, None] = {}  # longest without a request first
-        self.silent = 0  # connections closed without a request, so far
+        self.closed_unused_count = 0  # connections closed without a request, so far
         self.stopped = False  # no new connections, for good
         self.draining = False  # connections are closed as soon as each is between requests
-        self.sending_away = False  # and checks hear that clients should go elsewhere
+        self.rejecting_clients = False  # and checks hear that clients should go elsewhere
         self.address: tuple[str, int] | None = None  # since it has begun to listen
         self._listener: socket.socket | None = None
         self._shared: bool = False  # it is the platform's: what we leave there is another process's
@@ -447,9 +447,9 @@
 
     def make_room(self) -> bool:
         """Whether one more connection fits; one that has long been without a request makes way for it."""
-        if len(self.connections) < self.most:
+        if len(self.connections) < self.max_connections:
             return True
-        quiet = asyncio.get_running_loop().time() - IDLE_TIME
+        quiet = asyncio.get_running_loop().time() - IDLE_TIMEOUT
         for connection in self.connections:
             if connection.quiet_from > quiet:
                 return False
@@ -457,14 +457,14 @@
                 return True
         return False
 
-    def send_away(self) -> None:
+    def start_draining(self) -> None:
         """Operators drain this relay: it listens on, as checks must hear so; clients are to go elsewhere."""
-        self.sending_away = True
+        self.rejecting_clients = True
         self._close_open()
 
-    def welcome(self) -> None:
+    def resume(self) -> None:
         """The end of that, unless the planned end has begun meanwhile."""
-        self.sending_away = False
+        self.rejecting_clients = False
         self.draining = self.stopped
 
     def stop(self) -> None:
@@ -474,7 +474,7 @@
         self._close_open()
 
     @property
-    def quiet(self) -> bool:
+    def is_quiescent(self) -> bool:
         """Whether nobody is owed an answer or about to ask: the process may end."""
         lately = asyncio.get_running_loop().time() - FIRST_REQUEST
         return (
@@ -488,7 +488,7 @@
             )
         )
 
-    def close_silent(self) -> None:
+    def close_unused_connections(self) -> None:
         """Where the process ends beside another one, the descriptors of both count: whoever has connected
         and asked nothing by now makes way."""
         lately = asyncio.get_running_loop().time() - FIRST_REQUEST
--- a/garnetrelay/config.py
+++ b/garnetrelay/config.py
@@ -48,7 +48,7 @@
     name: str
     listen: Address
     discovery: Address
-    mgmt: Address | None  # the operators' door, where there is one
+    management_address: Address | None  # the operators' door, where there is one
     state: Path
     seed: int
     inherited_fd: int | None  # the platform's listening socket for clients
@@ -138,7 +138,7 @@
         name=str(environment.get("RELAY_NAME") or raw["name"]),
         listen=Address.parse(environment.get("RELAY_LISTEN") or raw["listen"]),
         discovery=Address.parse(environment.get("RELAY_DISCOVERY") or raw["discovery"]),
-        mgmt=Address.parse(mgmt) if mgmt else None,
+        management_address=Address.parse(mgmt) if mgmt else None,
         state=state,
         # Any text will do for a seed; a hash keeps it the same from run to run.
         seed=int.from_bytes(hashlib.sha256(str(raw.get("seed", "")).encode()).digest()[:8]),
--- a/garnetrelay/connection_pool.py
+++ b/garnetrelay/connection_pool.py
@@ -31,7 +31,8 @@
 MOST_HEAD = 16 * 1024
 MOST_FIRST_LINE = 200
 MOST_ANSWER = 64 * 1024  # beyond this an answer is not worth reading for its connection's sake
-STALE_TIME = 0.1  # seconds, a trip there and back: so soon breaks a call on what its host had closed
+# seconds, a trip there and back: so soon breaks a call on what its host had closed
+STALE_CONNECTION_WINDOW = 0.1
 DELIVERED = re.compile(rb"HTTP/\d\.\d 200(?: [^\r\n]*)?\r?\n")  # a first line that holds, whatever follows
 LEAST_LIMIT = 1e-6  # calls a second: a report of less is none, and the time for one call must stay a number
 LOCAL_ERRORS = frozenset(
@@ -58,7 +59,7 @@
     """How an exchange ended."""
 
     status: io.Status
-    wait: int = 0
+    retry_after: int = 0
     no_slot: bool = False
     finished: bool = False
     report: io.LoadReport | None = None
@@ -75,7 +76,7 @@
     body: bytes = b""
 
 
-class Attempt:
+class Exchange:
     """One call or probe: ``prepare`` gives its request at the last instant, or None to abandon it."""
 
     def __init__(
@@ -87,18 +88,19 @@
         written: Callable[[], None] = lambda: None,
         told: Callable[[int], None] = lambda wait: None,
     ) -> None:
-        self.host = host
-        self.stop_at = stop_at
+        self.endpoint = host
+        self.deadline = stop_at
         self.prepare = prepare
         self._done = done
-        self.written = written  # heard once, when the kernel has taken the request's last byte
-        self.told = told  # heard as soon as an answer's head tells a wait: it binds from when it was written
+        self.on_written = written  # heard once, when the kernel has taken the request's last byte
+        # heard as soon as an answer's head tells a wait: it binds from when it was written
+        self.on_retry_after = told
         self.ended = False
         self.connection: Connection | None = None
         self.opening: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
 
-    def end(self, outcome: Outcome) -> None:
+    def finish(self, outcome: Outcome) -> None:
         """Report the outcome, once."""
         if self.ended:
             return
@@ -115,15 +117,15 @@
         if connection is None:
             if self.opening is not None:
                 self.opening.cancel()
-            self.end(Outcome(io.Status.CONNECT_FAILED))
+            self.finish(Outcome(io.Status.CONNECT_FAILED))
             return
         outcome = connection.settled or Outcome(status if connection.whole else io.Status.CONNECT_FAILED)
         connection.abort()
         if outcome.status is io.Status.TIMEOUT:
             # A machine that vanished keeps its connections open and silent, and resets them once it is back:
             # an unsafe message written to one of them would die of that.
-            connection.pool.close_idle(self.host)
-        self.end(outcome)
+            connection.pool.close_idle_connections(self.endpoint)
+        self.finish(outcome)
 
 
 def parse_report(text: str) -> io.LoadReport | None:
@@ -154,7 +156,7 @@
             told = values.get(b"x-backoff-ms", "")
             if not told.isascii() or not told.isdigit() or len(told) > 9:
                 return Outcome(io.Status.ERROR, report=report)  # unreadable as the protocol words it
-            return Outcome(io.Status.FULL, wait=int(told) * 1_000_000, report=report)
+            return Outcome(io.Status.FULL, retry_after=int(told) * 1_000_000, report=report)
         case 503 if values.get(b"x-egress-full") == "1":
             return Outcome(io.Status.MOOT, no_slot=True, report=report)
         case 503:
@@ -172,10 +174,10 @@
     def __init__(self, pool: ConnectionPool, host: str, address: Address) -> None:
         self.pool = pool
         self.buffer = pool.buffer
-        self.host = host
+        self.endpoint = host
         self.address = address
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
-        self.exchange: Attempt | None = None
+        self.exchange: Exchange | None = None
         self.outcome: Outcome | None = None  # of the answer whose body is still coming
         self.received = 0
         self.head = b""  # the answer's first bytes
@@ -195,7 +197,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         self.lost_locally = isinstance(error, OSError) and error.errno in LOCAL_ERRORS
-        self.pool.forget(self)
+        self.pool.discard(self)
         if self.timer is not None:
             self.timer.cancel()
         if self.exchange is not None:
@@ -206,7 +208,7 @@
         a byte, where an earlier call was answered: the host had closed the connection while it stood idle.
         Neither that nor an error of our own machine says anything of the host."""
         waited = asyncio.get_running_loop().time() - self.written_at
-        stale = self.lost_locally or self.calls > 1 and not self.received and waited < STALE_TIME
+        stale = self.lost_locally or self.calls > 1 and not self.received and waited < STALE_CONNECTION_WINDOW
         status = io.Status.RESET if self.whole else io.Status.CONNECT_FAILED  # a call in part never ran
         return self.settled or Outcome(status, stale=stale)
 
@@ -234,9 +236,9 @@
     def resume_writing(self) -> None:
         self.whole = True
         if self.exchange is not None:
-            self.exchange.written()
+            self.exchange.on_written()
 
-    def start(self, exchange: Attempt, ask: HttpRequest) -> None:
+    def start(self, exchange: Exchange, ask: HttpRequest) -> None:
         """Write the request."""
         if self.timer is not None:
             self.timer.cancel()
@@ -266,7 +268,7 @@
             self.http.receive_data(data)
             self._read_events()
         except h11.RemoteProtocolError as error:
-            log.debug("host %s: answer can't be read: %s", self.host, error)
+            log.debug("host %s: answer can't be read: %s", self.endpoint, error)
             self._finish(self._broken(), keep=False)
         if self.exchange is not None and self.received > MOST_ANSWER + MOST_HEAD:
             self._finish(self._broken(), keep=False)
@@ -278,12 +280,12 @@
                 case h11.Response():
                     self.outcome = read_outcome(event.status_code, list(event.headers))
                     if self.outcome.status is io.Status.ERROR and event.status_code != 500:
-                        log.info("host %s: answered %d, taken for an error", self.host, event.status_code)
-                    if self.outcome.wait:
-                        self.exchange.told(self.outcome.wait)
+                        log.info("host %s: answered %d, taken for an error", self.endpoint, event.status_code)
+                    if self.outcome.retry_after:
+                        self.exchange.on_retry_after(self.outcome.retry_after)
                     if self.outcome.status is io.Status.OK:
                         # The first line settles it. The connection stays busy until the rest has come.
-                        self.exchange.end(self.outcome)
+                        self.exchange.finish(self.outcome)
                         self._expect_rest()
                 case h11.Data():
                     self.body += bytes(event.data)
@@ -312,7 +314,7 @@
         if outcome.report is None and self.body and len(self.body) < 200:
             outcome = Outcome(
                 outcome.status,
-                outcome.wait,
+                outcome.retry_after,
                 outcome.no_slot,
                 outcome.finished,
                 parse_report(self.body.decode("latin-1")),
@@ -325,14 +327,14 @@
             self.timer.cancel()
             self.timer = None
         if keep:
-            self.pool.rest(self)
+            self.pool.return_to_pool(self)
         else:
             self.abort()
         if exchange is not None:
             if not keep and outcome.status in (io.Status.RESET, io.Status.TIMEOUT):
                 # A host that broke one connection has likely lost the others too.
-                self.pool.close_idle(self.host)
-            exchange.end(outcome)
+                self.pool.close_idle_connections(self.endpoint)
+            exchange.finish(outcome)
 
     def shut(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -341,7 +343,7 @@
 
     def abort(self) -> None:
         """Close at once: the host takes this for a call given up."""
-        self.pool.forget(self)
+        self.pool.discard(self)
         self.exchange = None
         if self.transport is not None:
             self.transport.abort()
@@ -356,79 +358,79 @@
         self.idle_time = (
             min(IDLE_SHARE, 1 / settings.relays) * settings.limits.connection_idle_timeout / SECOND
         )
-        self.most_open = most_open
+        self.max_connections = most_open
         self.buffer = new_buffer()
         self.addresses: dict[str, Address] = {}
-        self.started: dict[str, int] = {}
+        self.endpoint_started_at: dict[str, int] = {}
         self.open: set[Connection] = set()
         self.idle: dict[str, deque[Connection]] = {}
         self.opening: set[asyncio.Task[None]] = set()
         self.cannot_connect = False  # the latest connection failed by our own machine's doing
 
-    def place(self, host: str, address: Address, draining: bool, started: int) -> None:
+    def update_endpoint(self, host: str, address: Address, draining: bool, started: int) -> None:
         """Where a host listens now; connections to elsewhere, to one that drains, or to a process that has
         ended since, are not kept."""
         if (
             draining
             or self.addresses.get(host, address) != address
-            or self.started.get(host, started) != started
+            or self.endpoint_started_at.get(host, started) != started
         ):
-            self.close_idle(host)
-        self.addresses[host], self.started[host] = address, started
+            self.close_idle_connections(host)
+        self.addresses[host], self.endpoint_started_at[host] = address, started
 
-    def remove(self, host: str) -> None:
+    def remove_endpoint(self, host: str) -> None:
         self.addresses.pop(host, None)
-        self.started.pop(host, None)
-        self.close_idle(host)
+        self.endpoint_started_at.pop(host, None)
+        self.close_idle_connections(host)
 
-    def begin(self, exchange: Attempt) -> None:
+    def start(self, exchange: Exchange) -> None:
         """Start a call or a probe, on an idle connection where there is a good one."""
         loop = asyncio.get_running_loop()
-        exchange.timer = loop.call_at(exchange.stop_at / SECOND, exchange.give_up, io.Status.TIMEOUT)
-        idle = self.idle.get(exchange.host)
+        exchange.timer = loop.call_at(exchange.deadline / SECOND, exchange.give_up, io.Status.TIMEOUT)
+        idle = self.idle.get(exchange.endpoint)
         while idle:
             connection = idle.pop()  # the latest used: the others may age and go
             if connection.is_usable(unknown=False):
                 self._go(connection, exchange)
                 return
             connection.abort()
-        address = self.addresses.get(exchange.host)
+        address = self.addresses.get(exchange.endpoint)
         if address is None:
-            loop.call_soon(exchange.end, Outcome(io.Status.ABANDONED))
+            loop.call_soon(exchange.finish, Outcome(io.Status.ABANDONED))
             return
-        if len(self.open) + len(self.opening) >= self.most_open:
+        if len(self.open) + len(self.opening) >= self.max_connections:
             self._close_oldest_idle()
         exchange.opening = task = loop.create_task(self._connect(exchange, address))
         self.opening.add(task)
         task.add_done_callback(self._opened)
 
-    async def _connect(self, exchange: Attempt, address: Address) -> None:
+    async def _connect(self, exchange: Exchange, address: Address) -> None:
         try:
             async with asyncio.timeout(self.connect_time):
                 try:
-                    connection = await self._open(exchange.host, address)
+                    connection = await self._open(exchange.endpoint, address)
                 except ConnectionResetError:
                     # It was taken up, then broke, with nothing of the call sent: a host that is down refuses.
-                    connection = await self._open(exchange.host, address)
+                    connection = await self._open(exchange.endpoint, address)
         except (OSError, TimeoutError) as error:
             if error.errno in LOCAL_ERRORS:
                 self._cannot_connect(error)
-                exchange.end(Outcome(io.Status.ABANDONED))
+                exchange.finish(Outcome(io.Status.ABANDONED))
                 return
             log.info(
                 "host %s: no connection, %d open: %s",
-                exchange.host,
-                sum(one.host == exchange.host for one in self.open),
+                exchange.endpoint,
+                sum(one.endpoint == exchange.endpoint for one in self.open),
                 str(error) or type(error).__name__,
             )
-            exchange.end(Outcome(io.Status.CONNECT_FAILED))
+            exchange.finish(Outcome(io.Status.CONNECT_FAILED))
             return
         self._can_connect()
         if exchange.ended:
-            self.rest(connection)
-        elif self.addresses.get(exchange.host) != address:  # it has moved: here may be another
+            self.return_to_pool(connection)
+        elif self.addresses.get(exchange.endpoint) != address:  # it has moved: here may be another
             connection.abort()
-            exchange.end(Outcome(io.Status.ABANDONED))
+            exchange.finish(Outcome(io.Status.ABANDONED))
         else:
             self._go(connection, exchange)
 
@@ -457,44 +459,44 @@
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("opening a connection failed", exc_info=error)
 
-    def _go(self, connection: Connection, exchange: Attempt) -> None:
+    def _go(self, connection: Connection, exchange: Exchange) -> None:
         ask = exchange.prepare()
         if ask is None:
-            self.rest(connection)
-            exchange.end(Outcome(io.Status.ABANDONED))
+            self.return_to_pool(connection)
+            exchange.finish(Outcome(io.Status.ABANDONED))
             return
         connection.start(exchange, ask)
 
-    def rest(self, connection: Connection) -> None:
+    def return_to_pool(self, connection: Connection) -> None:
         """Keep a connection for the next call, or not."""
         if (
             connection.transport is None
             or connection.transport.is_closing()
-            or self.addresses.get(connection.host) != connection.address
+            or self.addresses.get(connection.endpoint) != connection.address
             or self.idle_time <= 0
         ):
             connection.abort()
             return
         if connection.timer is not None:
             connection.timer.cancel()  # of an earlier rest: it would cut off a later call
-        self.idle.setdefault(connection.host, deque()).append(connection)
+        self.idle.setdefault(connection.endpoint, deque()).append(connection)
         connection.timer = asyncio.get_running_loop().call_later(self.idle_time, connection.abort)
 
-    def forget(self, connection: Connection) -> None:
+    def discard(self, connection: Connection) -> None:
         self.open.discard(connection)
         if connection.timer is not None:
             connection.timer.cancel()
-        idle = self.idle.get(connection.host)
+        idle = self.idle.get(connection.endpoint)
         if idle and connection in idle:
             idle.remove(connection)
 
-    def close_idle(self, host: str) -> None:
+    def close_idle_connections(self, host: str) -> None:
         for connection in self.idle.pop(host, ()):
             connection.abort()
 
-    def close_all_idle(self) -> None:
+    def close_all_idle_connections(self) -> None:
         for host in list(self.idle):
-            self.close_idle(host)
+            self.close_idle_connections(host)
 
     def close(self) -> None:
         """Drop every connection; what was out on them has no outcome. It is given up before this returns, and
--- a/garnetrelay/discovery.py
+++ b/garnetrelay/discovery.py
@@ -23,16 +23,17 @@
 
 log = logging.getLogger(__name__)
 
-ANSWER_TIME = 2.0  # seconds to be taken up in; what a watch misses counts as told 6 s after it fell silent
-MOST_ANSWER_TIME = 5.0  # where that fails again and again: discovery may work through its calls in turn
-SILENCE = 3.0  # seconds without a line, of which one comes every 2: the watch is dead
+# seconds to be taken up in; what a watch misses counts as told 6 s after it fell silent
+RESPONSE_TIMEOUT = 2.0
+MAX_RESPONSE_TIMEOUT = 5.0  # where that fails again and again: discovery may work through its calls in turn
+SILENCE_TIMEOUT = 3.0  # seconds without a line, of which one comes every 2: the watch is dead
 LEAST_RATE, MOST_RATE = 1e-6, 1e9  # calls a second that may be listed; whatever else is tells nothing
 MOST_KEPT = 64 * 1024  # bytes of an object that are kept until it is whole; a longer one is read as it comes
 MOST_ENTRY = 16 * 1024  # characters of one entry
 SPACE = re.compile(r"[ \t\r\n]*")
 EMPTY_LINE = re.compile(r"\n[ \t\r]*\n")
 
-NOWHERE = Address("", 0)  # of what is gone
+NO_ADDRESS = Address("", 0)  # of what is gone
 
 STATES = {
     "Ready": io.Availability.RUNNING,
@@ -42,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class ListUpdate:
     """One version of the list, or the changes since the one before."""
 
     index: int
@@ -50,7 +51,7 @@
     staged: Staged
 
 
-class Reader:
+class EntryParser:
     """Turns discovery's form into the catalog's. ``stage`` makes the place for one version's entries."""
 
     def __init__(self, config: Config, stage: Callable[[], Staged]) -> None:
@@ -59,7 +60,7 @@
         self.most_staged = config.memory_bytes // 2
         self.stage = stage
 
-    def read(self, raw: Any) -> News:
+    def read(self, raw: Any) -> ListUpdate:
         """ValueError if it can't be read: then nothing of it is taken over."""
         staged = self.stage()
         try:
@@ -67,21 +68,21 @@
                 self.add(staged, line)
         except (KeyError, TypeError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
-        return self.news(raw, staged)
+        return self.parse_update(raw, staged)
 
-    def read_known(self, config: Config) -> News:
+    def read_known(self, config: Config) -> ListUpdate:
         """The list that the configuration names. ValueError if it can't be read."""
         staged = self.stage()
         facts = load_known(config, lambda line: self.add(staged, line))
         if isinstance(facts, dict) and any(line is not None for line in facts.get("endpoints", ())):
             raise ValueError("an entry without a group or an address")
-        return self.news(facts, staged)
+        return self.parse_update(facts, staged)
 
-    def news(self, facts: Any, staged: Staged) -> News:
+    def parse_update(self, facts: Any, staged: Staged) -> ListUpdate:
         """What an object says beside its entries. ValueError if it can't be read."""
         try:
             facts["endpoints"]  # an object without is no list
-            return News(int(facts["index"]), bool(facts["snapshot"]), staged)
+            return ListUpdate(int(facts["index"]), bool(facts["snapshot"]), staged)
         except (KeyError, TypeError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
 
@@ -96,13 +97,13 @@
             staged.add(
                 Endpoint(
                     name=str(line["name"]),
-                    dest=int(line["group"]),
+                    destination=int(line["group"]),
                     zone=self.zones[line["zone"]] if self.zones else 0,
                     kind=self.kinds[line["type"]] if self.kinds else 0,
                     availability=availability,
                     rate=rate if LEAST_RATE <= rate <= MOST_RATE else 0.0,
                     started=0 if gone else int(line.get("since_ms", 0)),
-                    address=NOWHERE if gone else Address.parse(line["address"]),
+                    address=NO_ADDRESS if gone else Address.parse(line["address"]),
                 )
             )
         except (KeyError, TypeError, AttributeError) as error:
@@ -112,15 +113,15 @@
 
 
 class Discovery:
-    """Watches the list. ``on_news`` gets what comes, None when the watch ended or never came about."""
+    """Watches the list. ``on_update`` gets what comes, None when the watch ended or never came about."""
 
     def __init__(
-        self, address: Address, reader: Reader, index: int, on_news: Callable[[News | None], None]
+        self, address: Address, reader: EntryParser, index: int, on_news: Callable[[ListUpdate | None], None]
     ) -> None:
         self.address = address
         self.reader = reader
         self.index = index
-        self.on_news = on_news
+        self.on_update = on_news
         self.failures = 0  # in a row: watches that were not taken up
         self.whole: bool = False  # ask for the whole list next: some of what came could not be read
         self.kept: bool = False  # the version is one that the disk kept: discovery may not go on from there
@@ -136,7 +137,7 @@
         if self.task is not None:
             self.task.cancel()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Discovery is elsewhere from now on: go on from there with what we have."""
         self.address = address
         self.failures = 0
@@ -154,11 +155,11 @@
             log.warning("watch ended: %s", str(error) or type(error).__name__)
         elif error is not None:
             log.error("watch failed", exc_info=error)
-        self.on_news(None)
+        self.on_update(None)
 
     async def _watch(self) -> None:
         loop = asyncio.get_running_loop()
-        due = loop.time() + min(ANSWER_TIME * 2 ** min(self.failures, 8), MOST_ANSWER_TIME)
+        due = loop.time() + min(RESPONSE_TIMEOUT * 2 ** min(self.failures, 8), MAX_RESPONSE_TIMEOUT)
         self.failures += 1
         async with asyncio.timeout_at(due):
             reader, writer = await asyncio.open_connection(self.address.host, self.address.port)
@@ -175,7 +176,7 @@
             http.send(h11.Request(method="GET", target=target, headers=[("Host", str(self.address))])) or b""
         )
         writer.write(http.send(h11.EndOfMessage()) or b"")
-        loop, lines = asyncio.get_running_loop(), Lines(self.reader)
+        loop, lines = asyncio.get_running_loop(), LineReader(self.reader)
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
@@ -185,16 +186,17 @@
                 if event.status_code != 200:
                     raise ValueError(f"discovery answered {event.status_code}")
                 self.failures = 0
-                due = loop.time() + SILENCE
+                due = loop.time() + SILENCE_TIMEOUT
                 log.info("watch taken up after version %d", self.index)
-                self.on_news(News(self.index, False, self.reader.stage()))  # also where nothing has changed
+                # also where nothing has changed
+                self.on_update(ListUpdate(self.index, False, self.reader.stage()))
             elif isinstance(event, h11.Data):
-                due = loop.time() + SILENCE
+                due = loop.time() + SILENCE_TIMEOUT
                 self._read(lines, bytes(event.data))
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                 raise ConnectionError("discovery closed it")
 
-    def _read(self, lines: Lines, data: bytes) -> None:
+    def _read(self, lines: LineReader, data: bytes) -> None:
         """ValueError, and the watch's end, where it can't be read: to go on with what comes behind would lose
         its changes, so the whole list is asked for next."""
         try:
@@ -203,31 +205,31 @@
                     raise ValueError(f"changes up to version {news.index}; {self.index} is on the disk")
                 self.whole = self.kept = False
                 self.index = news.index
-                self.on_news(news)
+                self.on_update(news)
         except ValueError:
             self.whole = True
             raise
 
 
-class Lines:
+class LineReader:
     """Puts together what may come indented and in pieces: an object goes from its first line to the one that
     closes it. One that grows too long to be kept until then is read as it comes."""
 
-    def __init__(self, reader: Reader) -> None:
+    def __init__(self, reader: EntryParser) -> None:
         self.reader = reader
         self.pending = b""  # of a line that has not come whole
         self.begun: list[bytes] = []
         self.size = 0
         self.long: LongObject | None = None
 
-    def feed(self, data: bytes) -> Iterator[News]:
+    def feed(self, data: bytes) -> Iterator[ListUpdate]:
         """What is whole now. ValueError where it can't be read."""
         while data:
             if self.long is not None:
                 rest = self.long.feed(data)
                 if rest is None:
                     return
-                yield self.reader.news(self.long.facts, self.long.staged)
+                yield self.reader.parse_update(self.long.facts, self.long.staged)
                 self.long, data = None, rest
                 continue
             *whole, self.pending = (self.pending + data).split(b"\n")
@@ -264,7 +266,7 @@
     """One version of the list, read as it comes: no more than one entry of it is kept as text. The standard
     library's decoder reads each entry and value; only what stands between them is looked at here."""
 
-    def __init__(self, reader: Reader) -> None:
+    def __init__(self, reader: EntryParser) -> None:
         self.reader = reader
         self.staged = reader.stage()
         self.facts: dict[str, Any] = {}  # the object's values but its entries
--- a/garnetrelay/endpoint_cache.py
+++ b/garnetrelay/endpoint_cache.py
@@ -33,10 +33,11 @@
 HEADER, PART, WHOLE, CHANGE = b"H", b"P", b"W", b"C"
 SLICE = 512  # destinations in a part: some milliseconds of work
 PAUSE = 0.005  # seconds between two slices
-ANEW_SHARE = 0.25  # of the whole list's size: changes beyond that are worth writing it anew
-ANEW_FROM = 64 * 1024  # bytes of changes below which they are not
-AGAIN_AFTER = 600.0  # seconds after the whole list was too long for its room: it may have shrunk
-AGAIN_AFTER_ERROR = 0.5  # seconds after it could not be written: the disk may be well again
+REWRITE_SHARE = 0.25  # of the whole list's size: changes beyond that are worth writing it anew
+MIN_REWRITE_BYTES = 64 * 1024  # bytes of changes below which they are not
+# seconds after the whole list was too long for its room: it may have shrunk
+RETRY_DELAY_AFTER_OVERFLOW = 600.0
+RETRY_DELAY_AFTER_ERROR = 0.5  # seconds after it could not be written: the disk may be well again
 
 
 class EndpointCache:
@@ -45,8 +46,8 @@
 
     def __init__(self, folder: Path, most_bytes: int, zones: Iterable[str], kinds: Iterable[str]) -> None:
         self.path = folder / "list"
-        self.spare = folder / "list.new"
-        self.most = most_bytes  # for the file and the one that takes its place together
+        self.temporary_path = folder / "list.new"
+        self.max_bytes = most_bytes  # for the file and the one that takes its place together
         self.header = json.dumps({"format": FORMAT, "zones": list(zones), "kinds": list(kinds)}).encode()
         self.lock_path = folder / "list.lock"
         self.lock: int | None = None  # until the lock is first wanted
@@ -81,7 +82,7 @@
         log.info("list version %d kept from before: %d endpoints", version, len(catalog))
         return True
 
-    def keep(self, catalog: Catalog, changed: set[int], whole: bool) -> None:
+    def store(self, catalog: Catalog, changed: set[int], whole: bool) -> None:
         """What has been taken over is to be on the disk, too."""
         self.catalog = catalog
         if not self._holds_lock():
@@ -112,7 +113,7 @@
             return False  # the process before us; the whole list is written once it is gone
         except OSError as error:
             self._note_failure(str(error.strerror))
-            self._try_again_after(AGAIN_AFTER_ERROR)
+            self._try_again_after(RETRY_DELAY_AFTER_ERROR)
             return False
         return True
 
@@ -148,20 +149,20 @@
     def _append_change(self, file: int, catalog: Catalog, changed: set[int]) -> None:
         """The change behind the list; the list anew where the changes have no more room, or outgrow it."""
         change = _changes(catalog, changed)
-        if self.size + RECORD.size + len(change) > self.most // 2:
+        if self.size + RECORD.size + len(change) > self.max_bytes // 2:
             self._write_anew(catalog)
         elif self._append(file, CHANGE, change):
-            if self.size - self.whole_size > max(ANEW_FROM, ANEW_SHARE * self.whole_size):
+            if self.size - self.whole_size > max(MIN_REWRITE_BYTES, REWRITE_SHARE * self.whole_size):
                 self._write_anew(catalog)
 
     def _append(self, file: int, sort: bytes, payload: bytes) -> bool:
         record = _record(sort, payload)
-        if self.size + len(record) > self.most // 2:
-            return self._give_up(f"over {self.most // 2} bytes", AGAIN_AFTER)
+        if self.size + len(record) > self.max_bytes // 2:
+            return self._give_up(f"over {self.max_bytes // 2} bytes", RETRY_DELAY_AFTER_OVERFLOW)
         try:
             write_all(file, record)
         except OSError as error:
-            return self._give_up(str(error.strerror), AGAIN_AFTER_ERROR)
+            return self._give_up(str(error.strerror), RETRY_DELAY_AFTER_ERROR)
         self.size += len(record)
         self.failing = False
         return True
@@ -190,7 +191,7 @@
 
     def _try_again(self) -> None:
         if self.catalog is not None and self.file is None:
-            self.keep(self.catalog, set(), whole=True)
+            self.store(self.catalog, set(), whole=True)
 
     def _write_anew(self, catalog: Catalog) -> None:
         if self.writing is not None:
@@ -206,7 +207,7 @@
         new, before = None, (self.size, self.whole_size)
         try:
             flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
-            new = os.open(self.spare, flags, 0o600)
+            new = os.open(self.temporary_path, flags, 0o600)
             self.size = 0
             done = self._append(new, HEADER, self.header)
             dests = list(catalog.packed)
@@ -221,15 +222,15 @@
             if self.changed:
                 done = done and self._append(new, CHANGE, _changes(catalog, self.changed))
             if not done:
-                remove_quietly(self.spare)
+                remove_quietly(self.temporary_path)
                 return
-            os.rename(self.spare, self.path)
+            os.rename(self.temporary_path, self.path)
             if self.file is not None:
                 close_quietly(self.file)
             self.file, new, self.whole_size, before = new, None, self.size, (self.size, self.size)
             log.info("list version %d is kept: %d bytes", catalog.version, self.size)
         except OSError as error:
-            self._give_up(str(error.strerror), AGAIN_AFTER_ERROR)
+            self._give_up(str(error.strerror), RETRY_DELAY_AFTER_ERROR)
         finally:
             self.size, self.whole_size = before
             if new is not None:
--- a/garnetrelay/handover.py
+++ b/garnetrelay/handover.py
@@ -22,21 +22,21 @@
     """One process's side of it. OSError never gets out: what fails is tried again."""
 
     def __init__(self, folder: Path, most_bytes: int) -> None:
-        self.most = most_bytes
+        self.max_bytes = most_bytes
         self.path = folder / "handover"
-        self.spare = folder / "handover.new"
+        self.temporary_path = folder / "handover.new"
         self.lock_path = folder / "sender"
         self.lock: int | None = None  # until it could be opened
         self.writing: int | None = None
         self.unwritten = bytearray()  # what the disk has not taken yet
         self.written = 0  # bytes, those that the disk has not taken yet included
-        self.passing_on = False  # the right to send goes as soon as what we know is written
+        self.releasing = False  # the right to send goes as soon as what we know is written
         self.reading: int | None = None
         self.unread = b""
         self.read_failed = False  # there is more that could not be read yet
         self.failing = False
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Whether the right to send is ours now. It comes with what its last holder leaves to read."""
         try:
             if self.lock is None:
@@ -66,7 +66,7 @@
         *lines, self.unread = self.unread.split(b"\n")
         return [value for line in lines if (value := _decoded(line)) is not None]
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """Nothing more will come, and nobody else is to read it; what could not be read yet stays."""
         if self.read_failed:
             return
@@ -77,16 +77,16 @@
         if os.path.exists(self.path):
             remove_quietly(self.path)
 
-    def pass_on(self, learned: Any) -> None:
+    def release(self, learned: Any) -> None:
         """Leave what we know, then let go of the right to send. While what we know cannot be written the
         right stays here: whoever did not hear of a told wait would break it. See ``flush``."""
-        self.passing_on = True
-        self.tell(learned)
+        self.releasing = True
+        self.append_line(learned)
 
-    def tell(self, value: Any) -> None:
+    def append_line(self, value: Any) -> None:
         """One more line for the process that sends now."""
         data = json.dumps(value, separators=(",", ":")).encode() + b"\n"
-        if self.written + len(data) <= self.most:
+        if self.written + len(data) <= self.max_bytes:
             self.written += len(data)
             self.unwritten += data
         self.flush()
@@ -95,18 +95,18 @@
         """Write what the disk has not taken yet."""
         try:
             if self.writing is None:
-                remove_quietly(self.spare)
+                remove_quietly(self.temporary_path)
                 flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
-                self.writing = os.open(self.spare, flags, 0o600)
+                self.writing = os.open(self.temporary_path, flags, 0o600)
             while self.unwritten:
                 del self.unwritten[: os.write(self.writing, self.unwritten)]
-            if self.passing_on:
-                os.rename(self.spare, self.path)
+            if self.releasing:
+                os.rename(self.temporary_path, self.path)
         except OSError as error:
             self._failed("cannot write", error)
             return
-        if self.passing_on:
-            self.passing_on = False
+        if self.releasing:
+            self.releasing = False
             if self.lock is not None:
                 fcntl.flock(self.lock, fcntl.LOCK_UN)
 
--- a/garnetrelay/health_store.py
+++ b/garnetrelay/health_store.py
@@ -33,7 +33,7 @@
     "slow_start_began_at",
     "slow_start_ends_at",
 )
-FURTHEST_AHEAD = 60_000_000_000  # nanoseconds: a destination that is shut says when it opens
+MAX_TIME_AHEAD = 60_000_000_000  # nanoseconds: a destination that is shut says when it opens
 MOST_RATE = 1e9  # calls a second
 
 Key = tuple[int, str]
@@ -44,10 +44,10 @@
 
     def __init__(self, folder: Path, most_bytes: int) -> None:
         self.path = folder / "health"
-        self.spare = folder / "health.new"
-        self.most = most_bytes // 2  # bytes: two files stand side by side while it is written anew
+        self.temporary_path = folder / "health.new"
+        self.max_bytes = most_bytes // 2  # bytes: two files stand side by side while it is written anew
         self.lines: dict[Key, bytes] = {}  # the latest record of each, oldest first
-        self.live = 0  # bytes of those
+        self.live_bytes = 0  # bytes of those
         self.file: int | None = None  # until the first record of this life
         self.size = 0
         self.unwritten: dict[Key, bytes] = {}  # what the disk has not taken yet; empty where it is to go
@@ -57,7 +57,7 @@
         """What an earlier life left, oldest first; ``now`` is the monotonic clock's, in nanoseconds. What is
         damaged or of another form is passed over, with one line in the log."""
         try:
-            if self.path.stat().st_size > self.most:
+            if self.path.stat().st_size > self.max_bytes:
                 raise ValueError("it is too long")
             lines = self.path.read_bytes().split(b"\n")[:-1]
             same_boot = _boot(_checked(lines[0])) if lines else False
@@ -82,7 +82,7 @@
         self._take_in({(record.destination, record.endpoint): _packed(record) for record in left})
         return left
 
-    def keep(self, records: Iterable[HealthRecord]) -> None:
+    def store(self, records: Iterable[HealthRecord]) -> None:
         """Let these outlast the process."""
         for record in records:
             self.unwritten[record.destination, record.endpoint] = (
@@ -96,7 +96,7 @@
             return
         added = b"".join(line or _line([dest, host]) for (dest, host), line in self.unwritten.items())
         try:
-            if self.file is None or self.size + len(added) > self.most:
+            if self.file is None or self.size + len(added) > self.max_bytes:
                 self._write_anew()
             else:
                 write_all(self.file, added)
@@ -116,24 +116,26 @@
     def _take_in(self, lines: dict[Key, bytes]) -> None:
         """These are among the latest records; what passes the bound is dropped, oldest first."""
         for key, line in lines.items():
-            self.live -= len(self.lines.pop(key, b""))
+            self.live_bytes -= len(self.lines.pop(key, b""))
             if line:
                 self.lines[key] = line
-                self.live += len(line)
-        while self.live > self.most // 2:
-            self.live -= len(self.lines.pop(next(iter(self.lines))))
+                self.live_bytes += len(line)
+        while self.live_bytes > self.max_bytes // 2:
+            self.live_bytes -= len(self.lines.pop(next(iter(self.lines))))
 
     def _write_anew(self) -> None:
         """All of the latest records, and no more, into a file that takes the old one's place."""
         self._take_in(self.unwritten)
         data = _line([FORMAT, boot_id()]) + b"".join(self.lines.values())
-        new = os.open(self.spare, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
+        new = os.open(
+            self.temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600
+        )
         try:
             write_all(new, data)
-            os.rename(self.spare, self.path)
+            os.rename(self.temporary_path, self.path)
         except OSError:
             close_quietly(new)
-            remove_quietly(self.spare)
+            remove_quietly(self.temporary_path)
             raise
         self.close()
         self.file, self.size = new, len(data)
@@ -198,8 +200,8 @@
         raise ValueError("values of another kind")
     if (
         not same_boot
-        or record.last_bad_outcome_at > now + FURTHEST_AHEAD
-        or (record.slow_start_began_at or 0) > now + FURTHEST_AHEAD
+        or record.last_bad_outcome_at > now + MAX_TIME_AHEAD
+        or (record.slow_start_began_at or 0) > now + MAX_TIME_AHEAD
     ):
         return replace(
             record,
--- a/garnetrelay/journal.py
+++ b/garnetrelay/journal.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class JournalEntry:
     """A message as the disk knows it. Times are of this boot's monotonic clock, in milliseconds."""
 
     ref: str
@@ -73,10 +73,10 @@
         """BlockingIOError where another process has it, FileNotFoundError where it is gone, any other OSError
         where it cannot be opened or read just now."""
         self.path = folder / name
-        self.spare = folder / f"{name}.new"
-        self.most = disk_bytes - 8 * BLOCK
-        self.entries: dict[str, Entry] = {}
-        self.live = 0  # bytes that the live entries would take in a new file, later records included
+        self.temporary_path = folder / f"{name}.new"
+        self.max_bytes = disk_bytes - 8 * BLOCK
+        self.entries: dict[str, JournalEntry] = {}
+        self.live_bytes = 0  # bytes that the live entries would take in a new file, later records included
         self.pending: deque[bytes] = deque()  # records that could not be written yet, oldest first
         self.failing = False  # the latest record could not be written
         self.torn = False  # half a record stands at the end of the file: to be cut before another is written
@@ -85,7 +85,7 @@
         self.boot_known = False  # the file says that its times are of this boot
         self.tidy_after = 0.0  # when a rewrite that nothing waits for may be tried again
         self.file = _open_locked(self.path, os.O_CREAT if create else 0)
-        remove_quietly(self.spare)  # a rewrite that a kill cut short
+        remove_quietly(self.temporary_path)  # a rewrite that a kill cut short
         try:
             self.size = self._load()
         except OSError:
@@ -111,16 +111,16 @@
 
     def has_room(self, weight: int) -> bool:
         """Whether one more message fits, also while old and new file stand side by side."""
-        return not self.failing and 2 * (self.live + weight + LATER) <= self.most
+        return not self.failing and 2 * (self.live_bytes + weight + LATER) <= self.max_bytes
 
-    def taken(self, entry: Entry) -> bool:
+    def accept(self, entry: JournalEntry) -> bool:
         """Whether the message is on record now; without that it must not be taken on."""
         if not self._append(self._whole(entry)):
             return False
         self._add(entry)
         return True
 
-    def trying(self, ref: str, zone: str, now_ms: int) -> bool:
+    def record_attempt_start(self, ref: str, zone: str, now_ms: int) -> bool:
         """Whether the attempt is on record now; without that its first byte must not go out."""
         record = {"t": "try", "ref": ref, "at": now_ms + self.offset, "zone": zone}
         if ref not in self.entries or not self._append(_pack(record, b"")):
@@ -128,15 +128,15 @@
         self._apply(record)
         return True
 
-    def outcome(self, ref: str, may_have_run: bool) -> None:
+    def record_outcome(self, ref: str, may_have_run: bool) -> None:
         self._note({"t": "outcome", "ref": ref, "ran": may_have_run})
 
-    def ended(self, ref: str, result: str | None, wait_ms: int = 0) -> bool:
+    def record_finish(self, ref: str, result: str | None, wait_ms: int = 0) -> bool:
         """Over: with the result that a notice has to tell, or without one where nothing more is owed. Whether
         that is on record now; without that a notice must not go out while the message could be sent again."""
         return self._note({"t": "ended", "ref": ref, "result": result, "wait": wait_ms})
 
-    def told(self, ref: str) -> None:
+    def record_notified(self, ref: str) -> None:
         self._note({"t": "told", "ref": ref})
 
     def flush(self) -> bool:
@@ -174,17 +174,17 @@
                     entry.ran_at, entry.ran_zone = entry.trying_at, entry.trying_zone
                 entry.trying_at = None
             case "ended" if record["result"] is not None:
-                self.live -= len(entry.body)
+                self.live_bytes -= len(entry.body)
                 entry.ended, entry.wait_ms, entry.body = record["result"], record["wait"], b""
             case "ended" | "told":
-                self.live -= weight(entry.ref, entry.key, entry.body) + LATER
+                self.live_bytes -= record_weight(entry.ref, entry.key, entry.body) + LATER
                 del self.entries[entry.ref]
 
-    def _add(self, entry: Entry) -> None:
+    def _add(self, entry: JournalEntry) -> None:
         old = self.entries.get(entry.ref)
-        self.live += weight(entry.ref, entry.key, entry.body) + LATER
+        self.live_bytes += record_weight(entry.ref, entry.key, entry.body) + LATER
         if old is not None:
-            self.live -= weight(old.ref, old.key, old.body) + LATER
+            self.live_bytes -= record_weight(old.ref, old.key, old.body) + LATER
         self.entries[entry.ref] = entry
 
     # ---- the clock
@@ -211,14 +211,14 @@
                 if entry.ran_at is not None or entry.trying_at is not None:
                     entry.uncertain = True
 
-    def _whole(self, entry: Entry) -> bytes:
+    def _whole(self, entry: JournalEntry) -> bytes:
         """The record of all that is known of a message."""
         moved = self._moved(entry, self.offset)
-        facts = {name: getattr(moved, name) for name in Entry.__slots__ if name != "body"}
+        facts = {name: getattr(moved, name) for name in JournalEntry.__slots__ if name != "body"}
         return _pack({"t": "taken", **facts}, entry.body)
 
     @staticmethod
-    def _moved(entry: Entry, offset: int) -> Entry:
+    def _moved(entry: JournalEntry, offset: int) -> JournalEntry:
         """The same with times of another clock."""
         return replace(
             entry,
@@ -236,9 +236,9 @@
 
     def _make_room(self, needed: int) -> None:
         """Write the file anew where it has no room for so many bytes, or where most of it is dead records."""
-        if self.size + needed > max(self.most - self.live - LATER, 0):
+        if self.size + needed > max(self.max_bytes - self.live_bytes - LATER, 0):
             self._rewrite()
-        elif self.size > max(TIDY_FROM, 3 * self.live) and time.monotonic() >= self.tidy_after:
+        elif self.size > max(TIDY_FROM, 3 * self.live_bytes) and time.monotonic() >= self.tidy_after:
             if not self._rewrite():
                 self.tidy_after = time.monotonic() + TIDY_AGAIN
 
@@ -250,9 +250,11 @@
         return True
 
     def _write(self, data: bytes) -> bool:
-        if self.size + len(data) > max(self.most - self.live, 0):
+        if self.size + len(data) > max(self.max_bytes - self.live_bytes, 0):
             # It could not be written anew: what is left of the disk is for doing so later.
-            return self._failed(f"no room for a record: {self.size} of {self.most} bytes, {self.live} live")
+            return self._failed(
+                f"no room for a record: {self.size} of {self.max_bytes} bytes, {self.live_bytes} live"
+            )
         try:
             if self.torn:
                 os.ftruncate(self.file, self.size)  # half a record would hide those behind it
@@ -287,7 +289,9 @@
     def _rewrite(self) -> bool:
         """Write the live entries to a new file and put it in the old one's place. Whether that was done."""
         try:
-            new = os.open(self.spare, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
+            new = os.open(
+                self.temporary_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600
+            )
         except OSError as error:
             return self._cannot_rewrite(error)
         size = 0
@@ -297,10 +301,10 @@
             for data in records:
                 write_all(new, data)
                 size += len(data)
-            os.rename(self.spare, self.path)
+            os.rename(self.temporary_path, self.path)
         except OSError as error:
             close_quietly(new)
-            remove_quietly(self.spare)
+            remove_quietly(self.temporary_path)
             return self._cannot_rewrite(error)
         close_quietly(self.file)
         self.file, self.size, self.torn = new, size, False
@@ -343,7 +347,7 @@
             match record["t"]:
                 case "taken":
                     del record["t"]
-                    self._add(self._moved(Entry(body=body, **record), -self.offset))
+                    self._add(self._moved(JournalEntry(body=body, **record), -self.offset))
                 case "clock":
                     self._read_clock(record)
                 case _:
@@ -362,7 +366,7 @@
 NO_CHANGE = _pack({"t": "told", "ref": ""}, b"")  # shows that the disk is well again, and says nothing
 
 
-def weight(ref: str, key: str | None, body: bytes) -> int:
+def record_weight(ref: str, key: str | None, body: bytes) -> int:
     """What of a message's record grows with it; a name may take twice its length where it is escaped."""
     return len(body) + 2 * (len(ref) + len(key or ""))
 
--- a/garnetrelay/management.py
+++ b/garnetrelay/management.py
@@ -43,7 +43,7 @@
 Routes = Mapping[str, Mapping[str, Callable[[], Answer]]]  # by path, then method
 
 
-def routes(
+def build_routes(
     health: Health, metrics: Metrics, drain: Callable[[], object], undrain: Callable[[], object]
 ) -> Routes:
     """All that operators can ask. The drain is said to be on, or over, at once; ``drain`` and ``undrain``
@@ -77,7 +77,7 @@
     """One operator's connection: a call, its answer, a close."""
 
     def __init__(self, door: AdminServer) -> None:
-        self.door = door
+        self.server = door
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_CALL)
         self.request: h11.Request | None = None
         self.received = 0
@@ -88,16 +88,16 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.door.admit(self)
+        self.server.admit(self)
         self.timer = asyncio.get_running_loop().call_later(CALL_TIME, self._overdue)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.door.callers.pop(self, None)
+        self.server.callers.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
 
     def abort(self) -> None:
-        self.door.callers.pop(self, None)
+        self.server.callers.pop(self, None)
         if self.transport is not None:
             self.transport.abort()
 
@@ -129,7 +129,7 @@
                         go_on = h11.InformationalResponse(status_code=100, headers=[])
                         self._write(self.http.send(go_on) or b"")
                 case h11.EndOfMessage() if self.request is not None:
-                    self._answer(self.door.answer(self.request))
+                    self._answer(self.server.answer(self.request))
                 case h11.Data():
                     pass  # no call has a use for a body
                 case _:
--- a/garnetrelay/metrics.py
+++ b/garnetrelay/metrics.py
@@ -12,7 +12,7 @@
 PREFIX = "relay"
 
 
-class End(Enum):
+class MessageEnd(Enum):
     """How a message ended, by the name of its count."""
 
     ANSWERED = "answered_total"  # delivered
@@ -50,7 +50,7 @@
 
     def __init__(self, class_names: Iterable[str]) -> None:
         # Every class has its line from the start: a count that appears later looks like one that was reset.
-        self.ends = {end: dict.fromkeys(class_names, 0) for end in End}
+        self.ends = {end: dict.fromkeys(class_names, 0) for end in MessageEnd}
         self.sends = 0
         self.current = 0
         self.cluster_size = 0
@@ -60,10 +60,10 @@
         self.destinations_recovering = 0
         self.journal_failing = 0
 
-    def ended(self, end: End, klass: str) -> None:
+    def record_end(self, end: MessageEnd, klass: str) -> None:
         self.ends[end][klass] += 1
 
-    def sent(self) -> None:
+    def record_send(self) -> None:
         self.sends += 1
 
     def render(self) -> str:
--- a/garnetrelay/notices.py
+++ b/garnetrelay/notices.py
@@ -14,8 +14,9 @@
 log = logging.getLogger(__name__)
 
 PATH = "/v1/notices"
-ANSWER_TIME = 0.15  # seconds for connecting and an answer: it comes at once, and a notice is late after 0.3
-MOST_ANSWER_TIME = 1.2  # where that fails again and again
+# seconds for connecting and an answer: it comes at once, and a notice is late after 0.3
+RESPONSE_TIMEOUT = 0.15
+MAX_RESPONSE_TIMEOUT = 1.2  # where that fails again and again
 AGAIN_AFTER = 0.1  # seconds between a failed post and the next; the first comes again at once
 MOST_BODY = 64 * 1024
 
@@ -25,7 +26,7 @@
 
     def __init__(self, address: Address, told: Callable[[str], None]) -> None:
         self.address = address
-        self.told = told
+        self.on_acknowledged = told
         self.queue: dict[str, bytes] = {}  # by message id: a line that is not acknowledged yet
         self.due = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
@@ -38,7 +39,7 @@
     def start(self) -> None:
         self.task = asyncio.get_running_loop().create_task(self._run())
 
-    def tell(self, ref: str, result: str, wait_ms: int) -> None:
+    def queue_notice(self, ref: str, result: str, wait_ms: int) -> None:
         """Queue a notice: ``dead``, or ``bounced`` with the milliseconds after which to come again."""
         notice: dict[str, str | int] = {"ref": ref, "result": result}
         if result == "bounced" and wait_ms:
@@ -46,7 +47,7 @@
         self.queue[ref] = json.dumps(notice, separators=(",", ":")).encode() + b"\n"
         self.due.set()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """The platform is elsewhere from now on; a post that is under way may still be answered."""
         self.address = address
 
@@ -76,13 +77,13 @@
 
     async def _post_batch(self) -> None:
         batch = self._batch()
-        async with asyncio.timeout(min(ANSWER_TIME * 2 ** min(self.failures, 8), MOST_ANSWER_TIME)):
+        async with asyncio.timeout(min(RESPONSE_TIMEOUT * 2 ** min(self.failures, 8), MAX_RESPONSE_TIMEOUT)):
             reader, writer = await self._connection()
             status = await self._post(reader, writer, b"".join(batch.values()))
         if status != 204:
             raise ValueError(f"the platform answered {status}")
         for ref in batch:
-            self.told(ref)
+            self.on_acknowledged(ref)
             del self.queue[ref]
         if not self.queue:
             self.due.clear()
--- a/garnetrelay/ownership.py
+++ b/garnetrelay/ownership.py
@@ -15,13 +15,13 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from garnetrelay.journal import Entry, Journal
+from garnetrelay.journal import JournalEntry, Journal
 
 log = logging.getLogger(__name__)
 
 NAME = re.compile(r"journal(\.\d+)?")
 MOST_JOURNALS = 1000  # files that are looked at for a free one
-LEARNED_SHARE = 8  # of the disk, an eighth is for what a process passes on besides messages
+HANDOVER_SHARE = 8  # of the disk, an eighth is for what a process passes on besides messages
 
 
 class Ownership:
@@ -31,24 +31,25 @@
         self.folder = folder
         self.shared = shared
         # Another process may come at any time, and the limit is for both together.
-        self.most = (disk_bytes - disk_bytes // LEARNED_SHARE) // 2 if shared else disk_bytes
+        self.max_bytes = (disk_bytes - disk_bytes // HANDOVER_SHARE) // 2 if shared else disk_bytes
         self.journals: dict[str, Journal] = {}
-        self.foreign: list[Path] = []  # another live process's, at the last look
+        self.held_by_others: list[Path] = []  # another live process's, at the last look
         self.unreadable: set[str] = set()  # what cannot be opened or read just now, at the last look
-        self.seen: set[str] = set()  # taken up while another process lives: a second journal may name it too
-        self.entries: ChainMap[str, Entry] = ChainMap()
+        # taken up while another process lives: a second journal may name it too
+        self.acquired_ids: set[str] = set()
+        self.entries: ChainMap[str, JournalEntry] = ChainMap()
         _require_folder(folder)
         self.own = self._create()  # None while none can be opened
-        self.take_up()
+        self.acquire_free_journals()
 
     def close(self) -> None:
         for journal in self.journals.values():
             journal.close()
 
     @property
-    def incomplete(self) -> bool:
+    def may_have_more(self) -> bool:
         """Whether there may be more to take up: another process's, or what cannot be opened just now."""
-        return bool(self.foreign or self.unreadable) or self.own is None
+        return bool(self.held_by_others or self.unreadable) or self.own is None
 
     @property
     def failing(self) -> bool:
@@ -61,10 +62,10 @@
         self._tidy()
         return self.own is not None and all(flushed)
 
-    def take_up(self) -> list[Entry]:
+    def acquire_free_journals(self) -> list[JournalEntry]:
         """Take every journal that nobody holds, and open one of our own where that was not possible before;
         the messages and notices that are ours from now on."""
-        taken: list[Entry] = []
+        taken: list[JournalEntry] = []
         try:
             names = sorted(path.name for path in self.folder.iterdir() if NAME.fullmatch(path.name))
         except OSError as error:  # whoever looks goes on looking; what was another's is still held to be
@@ -77,7 +78,7 @@
             if name in self.journals:
                 continue
             try:
-                journal = Journal(self.folder, self.most, name, create=False)
+                journal = Journal(self.folder, self.max_bytes, name, create=False)
             except BlockingIOError:
                 foreign.append(self.folder / name)
             except FileNotFoundError:
@@ -86,8 +87,10 @@
                 self._cannot_read(name, error, unreadable)
             else:
                 taken += self._add(journal)
-        self.foreign = foreign
-        self.seen = self.seen | {entry.ref for entry in taken} if self.foreign else set()
+        self.held_by_others = foreign
+        self.acquired_ids = (
+            self.acquired_ids | {entry.ref for entry in taken} if self.held_by_others else set()
+        )
         if self.own is None and (own := self._create()) is not None:
             self.own = own
             del self.journals[own.path.name]
@@ -102,19 +105,19 @@
             log.error("journal: %s cannot be taken up: %s", name, error.strerror)
         self.unreadable.add(name)
 
-    def elsewhere(self, ref: str) -> bool:
+    def is_held_elsewhere(self, ref: str) -> bool:
         """Whether another live process has a message on record."""
         mark = b'"ref":' + json.dumps(ref).encode()
-        return any(mark in _read(path) for path in self.foreign)
+        return any(mark in _read(path) for path in self.held_by_others)
 
     def hand_over(self, refs: Iterable[str]) -> list[str]:
         """Move messages to a journal of their own and let go of it; those that were moved."""
         journal = self._create()
         if journal is None:
             return []
-        moved = [ref for ref in refs if journal.taken(self.entries[ref])]
+        moved = [ref for ref in refs if journal.accept(self.entries[ref])]
         for ref in moved:  # from here on a kill leaves it in one journal only
-            self.ended(ref, None)
+            self.record_finish(ref, None)
         del self.journals[journal.path.name]
         self._chain()
         if journal.entries or not journal.remove():
@@ -128,37 +131,37 @@
         is not gone yet, where none was meant to be beside us: it reckoned with the whole disk."""
         left = sum(journal.size for journal in self.journals.values() if journal is not self.own)
         if not self.shared:
-            left += sum(_size(path) for path in self.foreign)
+            left += sum(_size(path) for path in self.held_by_others)
         return self.own is not None and self.own.has_room(weight + left // 2)
 
-    def taken(self, entry: Entry) -> bool:
+    def accept(self, entry: JournalEntry) -> bool:
         """Whether the message is on record now; without that it must not be taken on."""
-        return self.own is not None and self.own.taken(entry)
+        return self.own is not None and self.own.accept(entry)
 
     def can_record(self, ref: str) -> bool:
         """Whether an attempt of a message could be recorded just now, as far as is known."""
         journal = self._journal(ref)
         return journal is not None and not journal.failing
 
-    def trying(self, ref: str, zone: str, now_ms: int) -> bool:
+    def record_attempt_start(self, ref: str, zone: str, now_ms: int) -> bool:
         """Whether the attempt is on record now; without that its first byte must not go out."""
         journal = self._journal(ref)
-        return journal is not None and journal.trying(ref, zone, now_ms)
+        return journal is not None and journal.record_attempt_start(ref, zone, now_ms)
 
-    def outcome(self, ref: str, may_have_run: bool) -> None:
+    def record_outcome(self, ref: str, may_have_run: bool) -> None:
         if (journal := self._journal(ref)) is not None:
-            journal.outcome(ref, may_have_run)
+            journal.record_outcome(ref, may_have_run)
 
-    def ended(self, ref: str, result: str | None, wait_ms: int = 0) -> bool:
-        """Whether the end is on record now; see ``Journal.ended``."""
+    def record_finish(self, ref: str, result: str | None, wait_ms: int = 0) -> bool:
+        """Whether the end is on record now; see ``Journal.record_finish``."""
         journal = self._journal(ref)
-        recorded = journal is not None and journal.ended(ref, result, wait_ms)
+        recorded = journal is not None and journal.record_finish(ref, result, wait_ms)
         self._tidy()
         return recorded
 
-    def told(self, ref: str) -> None:
+    def record_notified(self, ref: str) -> None:
         if (journal := self._journal(ref)) is not None:
-            journal.told(ref)
+            journal.record_notified(ref)
         self._tidy()
 
     # ---- the journals
@@ -174,7 +177,7 @@
                 continue
             stood_there = os.path.exists(self.folder / name)
             try:
-                journal = Journal(self.folder, self.most, name)
+                journal = Journal(self.folder, self.max_bytes, name)
             except (BlockingIOError, FileNotFoundError):  # another's, or removed just as we opened it
                 continue
             except OSError as error:
@@ -187,10 +190,10 @@
             return journal
         return None
 
-    def _add(self, journal: Journal) -> list[Entry]:
-        for ref in [ref for ref in journal.entries if ref in self.seen or ref in self.entries]:
-            journal.ended(ref, None)
-            journal.told(ref)
+    def _add(self, journal: Journal) -> list[JournalEntry]:
+        for ref in [ref for ref in journal.entries if ref in self.acquired_ids or ref in self.entries]:
+            journal.record_finish(ref, None)
+            journal.record_notified(ref)
         self.journals[journal.path.name] = journal
         self._chain()
         return list(journal.entries.values())
--- a/starlingwick/control.py
+++ b/starlingwick/control.py
@@ -56,8 +56,8 @@
     SetTimer,
     MessageWithdrawn,
 )
-from starlingwick.health_record import record_of, restore, state_of
-from starlingwick.listed_rate import call_interval, longest_limit_wait
+from starlingwick.health_record import to_record, restore_health, health_state
+from starlingwick.listed_rate import call_interval, max_limit_wait
 from starlingwick.slow_start import SlowStart
 from starlingwick.state import (
     HANDOVER_ENDPOINT_ATTRIBUTES,
@@ -96,16 +96,17 @@
 ASK_WITHIN = 11 * SECOND // 2  # from a call that came to nothing to the next, which is answered before that
 PROBE_TIME = 3 * SECOND // 2  # for a probe's answer
 STORE_AGAIN = SECOND  # until a disk that is full or fails may have room again
-MOST_USED = 1024  # destinations that are known without need: some seconds' traffic of a relay that sees many
+# destinations that are known without need: some seconds' traffic of a relay that sees many
+MAX_LOADED_DESTINATIONS = 1024
 LOOKS = 4  # at what may be let go, each turn
 
-CHANGED_TO = {  # the first word of the line in the log
+HEALTH_LOG_WORDS = {  # the first word of the line in the log
     HealthState.HEALTHY: "well",
     HealthState.SUSPECT: "suspect",
     HealthState.OUTAGE: "outage",
     HealthState.RECOVERING: "back",
 }
-MAY_HAVE_RUN = (Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
+POSSIBLY_EXECUTED = (Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 FAILED = (Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
 MAY_STILL_RUN = (Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 
@@ -121,22 +122,24 @@
         self.started: int | None = None
         self.actions: list[Action] = []
         self.messages: dict[str, Message] = {}
-        self.waiting: dict[int, dict[str, Message]] = {}  # by destination number: held, no attempt out
-        self.held = 0
+        # by destination number: held, no attempt out
+        self.waiting_messages: dict[int, dict[str, Message]] = {}
+        self.held_count = 0
         self.owed: dict[str, Message] = {}  # picked up, and no call of theirs has been written yet
         self.owed_at: Counter[int] = Counter()  # those, by destination number
-        self.turns: dict[str, deque[Message]] = {}
+        self.ordered_queues: dict[str, deque[Message]] = {}
         self.turn_rest: dict[str, int] = {}
         self.expiry: list[tuple[int, str]] = []
         self.routes: dict[int, list[Destination]] = {}  # by destination number
-        self.hosts: dict[str, tuple[Destination, Endpoint]] = {}
-        self.introduced: dict[int, None] = {}  # destinations known only while used, longest unused first
+        self.endpoints: dict[str, tuple[Destination, Endpoint]] = {}
+        # destinations known only while used, longest unused first
+        self.loaded_destinations: dict[int, None] = {}
         self.freed: list[Endpoint] = []  # hosts whose call ended this turn
         self.calls: dict[Call, None] = {}  # out, oldest first: each holds a slot
-        self.elsewhere = 0  # calls out in another process of this relay: they hold slots too
+        self.predecessor_calls = 0  # calls out in another process of this relay: they hold slots too
         self.tenant_due = [0] * len(settings.tenant_quotas)  # when the next message is within the share
         self.changed: dict[Destination, None] = {}  # whose health has changed in this turn
-        self.ask_at = NEVER
+        self.subscribe_at = NEVER
         self.asks_failed = 0  # in a row
         self.asked_at = NEVER  # when the last call for the list began
         self.subscribed = False
@@ -154,7 +157,7 @@
         if self.started is None:
             self.started = now
             if self.settings.discovery is DiscoveryMode.SUBSCRIBE:
-                self.ask_at = now
+                self.subscribe_at = now
         for event in events:
             match event:
                 case MessageArrived():
@@ -166,7 +169,7 @@
                 case ShutdownStarted():
                     self.stopping_at, self.back_at = event.at, event.resumes_at
                 case PredecessorState():
-                    self.on_learned(event.facts)
+                    self.on_predecessor_state(event.facts)
                 case HealthRestored():
                     self.on_health_restored(event)
                 case PredecessorCallEnded():
@@ -174,14 +177,14 @@
                 case RetryAfter():
                     self.on_told(event)
                 case PredecessorCalls():
-                    self.elsewhere = event.calls
+                    self.predecessor_calls = event.calls
                 case MessageWithdrawn():
                     if event.message_id in self.messages:
                         self.finish(self.messages[event.message_id])
                 case EndpointUpdate():
                     self.on_roster(event)
                 case DestinationLoaded():
-                    self.introduced[event.destination] = None
+                    self.loaded_destinations[event.destination] = None
                     for entry in event.entries:
                         self.on_entry(entry)
                 case ProbeEnded():
@@ -209,11 +212,11 @@
 
     def ask(self) -> None:
         """Subscribe; what comes of it says when to ask again."""
-        if self.now >= self.ask_at and not self.subscribed:
+        if self.now >= self.subscribe_at and not self.subscribed:
             self.actions.append(Subscribe())
-            self.ask_at, self.asked_at = NEVER, self.now
+            self.subscribe_at, self.asked_at = NEVER, self.now
         if not self.subscribed:
-            self.wake_at = min(self.wake_at, self.ask_at)
+            self.wake_at = min(self.wake_at, self.subscribe_at)
 
     def ask_span(self) -> int:
         """Over what time to spread the next call for the list. All relays lose their watches at once, and
@@ -227,9 +230,9 @@
         if event.scope is UpdateScope.FAILED:
             if self.settings.discovery is DiscoveryMode.SUBSCRIBE:
                 least = SECOND // 2 if self.asks_failed else 0
-                self.ask_at = self.now + least + round(self.random.random() * self.ask_span())
+                self.subscribe_at = self.now + least + round(self.random.random() * self.ask_span())
                 if not self.subscribed:  # discovery may be back since the call began: its wait counts too
-                    self.ask_at = max(self.now, min(self.ask_at, self.asked_at + ASK_WITHIN))
+                    self.subscribe_at = max(self.now, min(self.subscribe_at, self.asked_at + ASK_WITHIN))
                 self.asks_failed += 1
             self.subscribed = False
             return
@@ -240,69 +243,74 @@
             self.on_entry(entry)
         if event.scope is not UpdateScope.DELTA:
             named = {entry.endpoint for entry in event.entries}
-            for name in [name for name in self.hosts if name not in named]:
+            for name in [name for name in self.endpoints if name not in named]:
                 self.forget(name)
 
     def on_entry(self, entry: EndpointEntry) -> None:
         if entry.availability is Availability.DELETED:
             self.forget(entry.endpoint)
             return
-        known = self.hosts.get(entry.endpoint)
+        known = self.endpoints.get(entry.endpoint)
         if known is not None and (known[0].number, known[1].kind) != (entry.destination, entry.kind):
             self.forget(entry.endpoint)  # another destination's from now on: its messages must not go there
-        if entry.endpoint not in self.hosts:
+        if entry.endpoint not in self.endpoints:
             kind = self.settings.kinds[entry.kind]
             routes = self.routes.setdefault(entry.destination, [])
             if kind.separate_routes or not routes:
                 routes.append(Destination(entry.destination, kind.max_batch_size))
-            self.hosts[entry.endpoint] = (
+            self.endpoints[entry.endpoint] = (
                 routes[-1],
                 Endpoint(entry.endpoint, entry.zone, entry.kind, entry.rate),
             )
-            routes[-1].endpoints.append(self.hosts[entry.endpoint][1])
-        dest, host = self.hosts[entry.endpoint]
+            routes[-1].endpoints.append(self.endpoints[entry.endpoint][1])
+        dest, host = self.endpoints[entry.endpoint]
         host.available = entry.availability is Availability.RUNNING
         if self.settings.uses_listed_rates and (not dest.listed_rate or host.listed_rate != entry.rate):
-            self.slow_start.list_rate(dest, entry.rate)
+            self.slow_start.set_listed_rate(dest, entry.rate)
         host.zone, host.listed_rate = entry.zone, entry.rate
 
     def forget(self, name: str) -> None:
         """A host that is gone; its calls run on. A route goes with its last host: memory stays bounded."""
-        if name in self.hosts:
-            dest, host = self.hosts.pop(name)
-            host.available = False  # for a call on its way there: see clear_to_send
+        if name in self.endpoints:
+            dest, host = self.endpoints.pop(name)
+            host.available = False  # for a call on its way there: see may_send
             dest.endpoints.remove(host)
             if not dest.endpoints and len(self.routes[dest.number]) > 1:
                 self.routes[dest.number].remove(dest)
 
     def use(self, number: int) -> None:
         """A message has come for it: it is the last that would be let go."""
-        if number in self.introduced:
-            del self.introduced[number]
-            self.introduced[number] = None
+        if number in self.loaded_destinations:
+            del self.loaded_destinations[number]
+            self.loaded_destinations[number] = None
 
     def let_go(self) -> None:
         """A fleet's relay meets more destinations than it has room for, each seldom: what it knows of one
         that is well is out of date before it is used again."""
-        for number in list(islice(self.introduced, min(LOOKS, max(0, len(self.introduced) - MOST_USED)))):
-            if self.may_forget(number):
-                del self.introduced[number]
+        for number in list(
+            islice(
+                self.loaded_destinations,
+                min(LOOKS, max(0, len(self.loaded_destinations) - MAX_LOADED_DESTINATIONS)),
+            )
+        ):
+            if self.can_evict(number):
+                del self.loaded_destinations[number]
                 for dest in self.routes.pop(number, ()):
                     for host in dest.endpoints:
-                        del self.hosts[host.name]
+                        del self.endpoints[host.name]
                 self.actions.append(EvictDestination(number))
             else:
                 self.use(number)
 
-    def may_forget(self, number: int) -> bool:
+    def can_evict(self, number: int) -> bool:
         """Whether nothing waits for it or is out there, and nothing known of it binds: told waits and cold
         partners do (rules 4 and 6), and so do our own pace and a doubt of its health."""
         settled = self.now - max(SENT_SPAN, self.settings.rules.slow_start_duration)
-        return number not in self.waiting and not any(
+        return number not in self.waiting_messages and not any(
             dest.calls
             or dest.failure_rate > SUSPECT
             or dest.rate_limit is not None
-            or self.slow_start.is_on(dest, self.now)
+            or self.slow_start.is_active(dest, self.now)
             or max(dest.retry_after_until, dest.backoff_until, dest.next_call_at, dest.next_trial_at)
             > self.now
             or dest.throttled_since is not None
@@ -324,7 +332,7 @@
 
     def on_arrived(self, event: MessageArrived) -> None:
         if not event.storable:  # what cannot be kept is not taken on
-            self.actions.append(Reject(event.message_id, self.store_again()))
+            self.actions.append(Reject(event.message_id, self.storage_retry_after()))
             return
         klass = self.settings.classes[event.class_index]
         worth = klass.value
@@ -341,15 +349,15 @@
         )
         self.messages[event.message_id] = message
         self.use(event.destination)
-        self.waiting.setdefault(event.destination, {})[event.message_id] = message
-        self.held += 1
+        self.waiting_messages.setdefault(event.destination, {})[event.message_id] = message
+        self.held_count += 1
         heapq.heappush(self.expiry, (message.deadline - 2 * self.settings.tick, event.message_id))
         if message.key is not None:
-            self.turns.setdefault(message.key, deque()).append(message)
+            self.ordered_queues.setdefault(message.key, deque()).append(message)
         for route in self.routes.get(event.destination, ()):
             self.mark(route.arrival_times, SENT_SPAN)
 
-    def store_again(self) -> int:
+    def storage_retry_after(self) -> int:
         """After how long a client may come again whose message could not be kept; 0 where none is told."""
         limits = self.settings.limits
         return min(STORE_AGAIN, limits.max_retry_after) if limits.retry_after else 0
@@ -375,15 +383,15 @@
             self.owed_at[m.destination] += 1
         self.messages[r.message_id] = m
         self.use(r.destination)
-        self.held += 1
+        self.held_count += 1
         if m.key is not None:
-            self.turns.setdefault(m.key, deque()).append(m)
+            self.ordered_queues.setdefault(m.key, deque()).append(m)
             if m.possible_run_at is not None:
                 self.turn_rest[m.key] = self.now + self.settings.rules.ordering_gap
         if self.is_spent(m):
             self.end(m)
         else:
-            self.waiting.setdefault(m.destination, {})[m.message_id] = m
+            self.waiting_messages.setdefault(m.destination, {})[m.message_id] = m
             heapq.heappush(self.expiry, (m.deadline - 2 * self.settings.tick, m.message_id))
 
     def is_spent(self, m: Message) -> bool:
@@ -444,16 +452,16 @@
         """A message is over; it stays known until its last attempt has an outcome."""
         if not m.finished:
             m.finished = True
-            self.held -= 1
+            self.held_count -= 1
             self.pay(m)
         self.leave(m)
         if m.call is None:
             self.messages.pop(m.message_id, None)
-            turn = self.turns.get(m.key) if m.key is not None else None
+            turn = self.ordered_queues.get(m.key) if m.key is not None else None
             if turn is not None and m.key is not None:
                 turn.remove(m)
                 if not turn:
-                    del self.turns[m.key]
+                    del self.ordered_queues[m.key]
 
     def pay(self, m: Message) -> None:
         """It has had its call, or is over."""
@@ -463,11 +471,11 @@
 
     def leave(self, m: Message) -> None:
         """Out of the hold; a destination that nothing waits for is not looked at each turn."""
-        waiting = self.waiting.get(m.destination, {})
+        waiting = self.waiting_messages.get(m.destination, {})
         if m.message_id in waiting:
             del waiting[m.message_id]
             if not waiting:
-                del self.waiting[m.destination]
+                del self.waiting_messages[m.destination]
 
     def expire(self) -> None:
         """End what is held at its deadline, with time left for the answer."""
@@ -481,10 +489,10 @@
     def shed(self) -> None:
         """A full hold turns newcomers away unseen: keep room by refusing what earns least by its turn."""
         room = max(1, self.settings.limits.max_held // 16)
-        if self.held <= self.settings.limits.max_held - room:
+        if self.held_count <= self.settings.limits.max_held - room:
             return
         ranked = []
-        for number, waiting in self.waiting.items():
+        for number, waiting in self.waiting_messages.items():
             pace = sum(self.rate(r.send_times, SENT_SPAN) for r in self.routes.get(number, ()))
             turn = self.now + round(len(waiting) * SECOND / max(pace, SECOND / CUT_SPAN))
             ranked += [
@@ -492,7 +500,7 @@
                 for m in waiting.values()
                 if self.may_refuse(m) and not m.unattempted
             ]
-        for *_, name, turn in sorted(ranked)[: self.held + room - self.settings.limits.max_held]:
+        for *_, name, turn in sorted(ranked)[: self.held_count + room - self.settings.limits.max_held]:
             self.end(self.messages[name], turn)
 
     # ---- outcomes
@@ -523,7 +531,7 @@
             call.destination.retry_after_until = max(
                 call.destination.retry_after_until, self.now + v.retry_after
             )
-        if v.status in MAY_HAVE_RUN and m.possible_run_at is None:
+        if v.status in POSSIBLY_EXECUTED and m.possible_run_at is None:
             m.possible_run_at, m.possible_run_zone = call.sent_at, call.endpoint.zone
         if v.status in MAY_STILL_RUN and m.key is not None:
             self.turn_rest.pop(m.key, None)  # the oldest first: those that are over are dropped
@@ -538,21 +546,21 @@
             tries = max(1, m.attempts - m.unsent_attempts)
             pause = min(REST << min(tries - 1, 8), m.message_class.target_latency)
             m.not_before = self.now + round(pause * self.random.uniform(0.5, 1.0))
-            self.waiting.setdefault(m.destination, {})[m.message_id] = m
+            self.waiting_messages.setdefault(m.destination, {})[m.message_id] = m
             heapq.heappush(self.expiry, (m.deadline - 2 * self.settings.tick, m.message_id))
 
     def on_probed(self, event: ProbeEnded) -> None:
-        if event.endpoint in self.hosts:
-            dest, host = self.hosts[event.endpoint]
+        if event.endpoint in self.endpoints:
+            dest, host = self.endpoints[event.endpoint]
             host.probing = False
             call = Call(dest, host, self.now - event.duration, [])
             self.learn(call, event.status, 0, 0, event.report)
 
-    def learned(self) -> dict[str, Any]:
+    def handover_state(self) -> dict[str, Any]:
         """All that a process that goes on in our place must know, as JSON holds it: of destinations by one of
         their hosts, of hosts by name. Times are the machine's, the same for both."""
         dests = {}
-        for name, (dest, _) in self.hosts.items():
+        for name, (dest, _) in self.endpoints.items():
             if dest.endpoints[0].name == name:
                 facts = {
                     outer_name: getattr(dest, attribute)
@@ -565,53 +573,55 @@
                 }
         hosts = {
             name: [getattr(host, fact) for fact in HANDOVER_ENDPOINT_ATTRIBUTES]
-            for name, (_, host) in self.hosts.items()
+            for name, (_, host) in self.endpoints.items()
         }
         return {"started": self.started, "dests": dests, "hosts": hosts}
 
-    def on_learned(self, facts: dict[str, Any]) -> None:
+    def on_predecessor_state(self, facts: dict[str, Any]) -> None:
         """Go on where another process of this relay left off, perhaps of another version: what it says of
         hosts or of facts unknown to us is moot."""
         self.started = min(self.started or self.now, facts["started"] or self.now)
         for name, known in facts["dests"].items():
-            if name in self.hosts:
-                dest = self.hosts[name][0]
+            if name in self.endpoints:
+                dest = self.endpoints[name][0]
                 for attribute, outer_name in HANDOVER_NAMES.items():
                     if outer_name in known.keys():
                         value = known[outer_name]
                         setattr(dest, attribute, list(value) if attribute in HANDOVER_TIME_LISTS else value)
         for name, values in facts["hosts"].items():
-            if name in self.hosts:
+            if name in self.endpoints:
                 for fact, value in zip(
                     HANDOVER_ENDPOINT_ATTRIBUTES, values, strict=False
                 ):  # a later one adds to the end
-                    setattr(self.hosts[name][1], fact, value)
+                    setattr(self.endpoints[name][1], fact, value)
 
     def on_health_restored(self, event: HealthRestored) -> None:
         """What this relay saw in an earlier life binds it: it had been told."""
         for record in event.records:
-            if record.endpoint in self.hosts:
-                dest = self.hosts[record.endpoint][0]
-                restore(dest, record)
-                dest.next_trial_at = self.slow_start.time_for(
+            if record.endpoint in self.endpoints:
+                dest = self.endpoints[record.endpoint][0]
+                restore_health(dest, record)
+                dest.next_trial_at = self.slow_start.budget_available_at(
                     dest, self.random.uniform(0.1, 1.0), self.now, self.now
                 )
 
     def keep_health(self) -> None:
         """Ask for what has changed in this turn to outlast the process."""
-        if records := tuple(record_of(dest) for dest in self.changed if dest.endpoints):
+        if records := tuple(to_record(dest) for dest in self.changed if dest.endpoints):
             self.actions.append(PersistHealth(records))
         self.changed.clear()
 
     def health_counts(self) -> Counter[HealthState]:
         """How many of the destinations that are known in detail are in which state."""
         return Counter(
-            state_of(dest, self.slow_start, self.now) for routes in self.routes.values() for dest in routes
+            health_state(dest, self.slow_start, self.now)
+            for routes in self.routes.values()
+            for dest in routes
         )
 
     def on_overheard(self, o: PredecessorCallEnded) -> None:
-        if o.endpoint in self.hosts:
-            dest, host = self.hosts[o.endpoint]
+        if o.endpoint in self.endpoints:
+            dest, host = self.endpoints[o.endpoint]
             if not o.stale:
                 self.learn(Call(dest, host, o.sent_at, []), o.status, o.duration, o.retry_after, None)
             if o.retry_after:
@@ -621,8 +631,8 @@
         """Rule 6: a wait binds from here on, whatever becomes of the answer that told it."""
         m = self.messages.get(event.message_id)
         call = m.call if m is not None else None
-        if call is not None or event.endpoint in self.hosts:
-            dest = call.destination if call is not None else self.hosts[event.endpoint][0]
+        if call is not None or event.endpoint in self.endpoints:
+            dest = call.destination if call is not None else self.endpoints[event.endpoint][0]
             dest.retry_after_until = max(dest.retry_after_until, self.now + event.wait)
 
     def learn(self, call: Call, status: Status, cost: int, wait: int, report: LoadReport | None) -> None:
@@ -633,7 +643,7 @@
             dest.listed_rate, dest.rate_is_reported, left = report.limit, True, report.remaining
         if status is Status.OK:
             dest.throttled_since = None
-            self.pause(dest, False, left)
+            self.update_backoff(dest, False, left)
             host.last_success_sent_at = max(host.last_success_sent_at, call.sent_at)
             self.mark(dest.success_times, self.settings.rules.slow_start_duration)
             if cost:
@@ -657,7 +667,9 @@
                 self.changed[dest] = None
                 dest.last_bad_outcome_at = self.now
                 # A partner that is back resets what hung there at all relays at once.
-                trial = self.slow_start.time_for(dest, self.random.uniform(0.1, 1.0), self.now, self.now)
+                trial = self.slow_start.budget_available_at(
+                    dest, self.random.uniform(0.1, 1.0), self.now, self.now
+                )
                 dest.next_trial_at = max(dest.next_trial_at, trial)
         elif status in (Status.RESET, Status.TIMEOUT) and self.answers(dest):
             self.distrust(call.endpoint)
@@ -693,17 +705,17 @@
             dest.next_call_at = max(dest.next_call_at, self.now)  # no credit from before the cut
             self.log(f"cut dest={dest.number} ceiling={dest.rate_limit:.3f}/s")
         if call.sent_at >= dest.backoff_changed_at:
-            self.pause(dest, True, left)
+            self.update_backoff(dest, True, left)
             dest.backoff_until += wait
         # A limit says that it is spent. Told to wait longer than one would make, the destination is shut and
         # says when it opens; untold, refusals that last with room left mean the same.
-        limit_wait = longest_limit_wait(dest)
+        limit_wait = max_limit_wait(dest)
         if wait > limit_wait:
-            before = state_of(dest, self.slow_start, self.now)
+            before = health_state(dest, self.slow_start, self.now)
             self.size_up(dest, dest.throttled_since)
             dest.last_bad_outcome_at = dest.slow_start_began_at = self.now + wait
             dest.slow_start_ends_at = dest.slow_start_began_at + self.settings.rules.slow_start_duration
-            dest.next_trial_at = self.slow_start.time_for(
+            dest.next_trial_at = self.slow_start.budget_available_at(
                 dest, self.random.random(), dest.slow_start_began_at, self.now
             )
             self.log_health(dest, call.endpoint, before, "told to wait")
@@ -717,7 +729,7 @@
             dest.last_failure_at = self.now
             self.judge(call, False, "refused")
 
-    def pause(self, dest: Destination, refused: bool, left: float | None) -> None:
+    def update_backoff(self, dest: Destination, refused: bool, left: float | None) -> None:
         """Own rest after a call, for relays that see too few refusals to cut a rate. Grows by refusals (also
         from a told wait's end: all were told it) or with the limit all but spent; ends with half of it left,
         shrinks like a ceiling in between, halves with time. As many refusals as make a cut take it to three
@@ -742,12 +754,12 @@
         if dest.unhealthy_since is None:
             dest.unhealthy_since = since
             served = self.rate(dest.success_times, self.settings.rules.slow_start_duration)
-            self.slow_start.size_up(dest, served, self.now - (self.started or self.now))
+            self.slow_start.record_baseline(dest, served, self.now - (self.started or self.now))
 
     def judge(self, call: Call, good: bool, reason: str) -> None:
         """Health from outcomes, and when to try again after a bad one; ``reason`` is for the log."""
         dest, host = call.destination, call.endpoint
-        before = state_of(dest, self.slow_start, self.now)
+        before = health_state(dest, self.slow_start, self.now)
         for one in (dest, host):
             one.failure_rate += BAD_WEIGHT * ((0.0 if good else 1.0) - one.failure_rate)
         was, dest.in_outage = dest.in_outage, dest.failure_rate > OUT
@@ -759,9 +771,9 @@
             self.slow_start.begin(dest, self.now)
             self.changed[dest] = None
             # The trial was a call of the ramp. Where this relay sends more than a few, one is within chance.
-            spent = 1.0 if self.slow_start.sees_little(dest) else self.random.random()
-            dest.next_trial_at = self.slow_start.time_for(dest, spent, self.now, self.now)
-        elif good and not dest.in_outage and not self.slow_start.is_on(dest, self.now):
+            spent = 1.0 if self.slow_start.has_little_traffic(dest) else self.random.random()
+            dest.next_trial_at = self.slow_start.budget_available_at(dest, spent, self.now, self.now)
+        elif good and not dest.in_outage and not self.slow_start.is_active(dest, self.now):
             if dest.unhealthy_since is not None:
                 self.changed[dest] = None
             dest.unhealthy_since = None
@@ -771,22 +783,25 @@
             self.mark(dest.failure_times, self.settings.rules.slow_start_duration)
             if dest.in_outage:
                 dest.slow_start_began_at = None
-            elif self.slow_start.is_on(dest, self.now) and self.slow_start.failed(dest, self.now):
+            elif self.slow_start.is_active(dest, self.now) and self.slow_start.on_failure(dest, self.now):
                 self.log(f"slow start anew dest={dest.number} host={host.name}")
-            host.retry_at = self.slow_start.time_for(dest, self.random.uniform(0.1, 1.0), self.now, self.now)
+            host.retry_at = self.slow_start.budget_available_at(
+                dest, self.random.uniform(0.1, 1.0), self.now, self.now
+            )
             sent_since = any(other.sent_at > call.sent_at for other in dest.calls)  # and paces the next
             dest.next_trial_at = max(dest.next_trial_at, host.retry_at) if sent_since else host.retry_at
         self.log_health(dest, host, before, reason)
 
     def log_health(self, dest: Destination, host: Endpoint, before: HealthState, reason: str) -> None:
         """One line for each change of state, with what the destination may get from here and what it got."""
-        state = state_of(dest, self.slow_start, self.now)
+        state = health_state(dest, self.slow_start, self.now)
         if state is before:
             return
-        interval = max(1, self.slow_start.time_for(dest, 1.0, self.now, self.now) - self.now)
+        interval = max(1, self.slow_start.budget_available_at(dest, 1.0, self.now, self.now) - self.now)
         self.log(
-            f"{CHANGED_TO[state]} dest={dest.number} host={host.name} was={before.value} reason={reason}"
-            f" part={self.slow_start.part(dest):.3f}/s budget={SECOND / interval:.3f}/s"
+            f"{HEALTH_LOG_WORDS[state]} dest={dest.number} host={host.name} was={before.value}"
+            f" reason={reason}"
+            f" part={self.slow_start.share_of_rate(dest):.3f}/s budget={SECOND / interval:.3f}/s"
             f" sent={self.rate(dest.send_times, SENT_SPAN):.2f}/s"
         )
 
@@ -842,9 +857,9 @@
                 self.log(f"ceiling dropped dest={dest.number}")
 
     def has_slot(self) -> bool:
-        return len(self.calls) + self.elsewhere < self.settings.max_calls
+        return len(self.calls) + self.predecessor_calls < self.settings.max_calls
 
-    def most_calls(self, dest: Destination, paced: bool = True) -> int:
+    def max_calls_in_flight(self, dest: Destination, paced: bool = True) -> int:
         """Calls out at once: Little's Law, capped. The cap alone, where our pace does not hold."""
         slots = self.settings.max_calls
         most = max(1, int(SLOT_SHARE * slots))
@@ -854,7 +869,7 @@
             most = min(most, max(1, slots // 2))  # a sick destination holds half at most
         return most
 
-    def gate(self, dest: Destination, host: Endpoint, m: Message | None) -> int:
+    def earliest_send_time(self, dest: Destination, host: Endpoint, m: Message | None) -> int:
         """The one gate: may this be sent now? The time to look again if not, NEVER if only an event can tell.
         Without a message: whether the host is open for any."""
         if not host.available or not self.has_slot():
@@ -866,7 +881,7 @@
         alone = dest.throttled_since is not None or dest.failure_rate > SUSPECT and last == NEVER
         if alone and last > self.now and (dest.calls or host.probing):
             return freed  # in trouble or refused since the last success: one at a time
-        if len(dest.calls) >= self.most_calls(dest, last > self.now):
+        if len(dest.calls) >= self.max_calls_in_flight(dest, last > self.now):
             return freed
         when = (
             dest.retry_after_until
@@ -881,7 +896,7 @@
         if m is not None:
             when = max(when, m.not_before)
             if m.key is not None:
-                if self.turns[m.key][0] is not m:
+                if self.ordered_queues[m.key][0] is not m:
                     return NEVER
                 when = max(when, self.turn_rest.get(m.key, 0))
             if not self.may_repeat(m, host):
@@ -896,8 +911,8 @@
 
     def recovers(self, dest: Destination) -> bool:
         """Whether the budget of a destination that recovers spaces the calls there."""
-        waiting = len(self.waiting.get(dest.number, ()))
-        return self.slow_start.binds(dest, waiting, self.now)
+        waiting = len(self.waiting_messages.get(dest.number, ()))
+        return self.slow_start.is_limiting(dest, waiting, self.now)
 
     def paced(self, dest: Destination) -> int:
         """When our own pace lets the next call go there: no rule asks for it."""
@@ -907,9 +922,9 @@
         """How long before its end a message that is owed a call takes it whatever our pace: early enough for
         all that are owed one there."""
         owed, mean = self.owed_at[dest.number], dest.mean_response_time or self.late_after(dest) / LATE
-        needs = round(mean * max(LATE, owed / self.most_calls(dest, False)))
+        needs = round(mean * max(LATE, owed / self.max_calls_in_flight(dest, False)))
         if dest.failure_rate > SUSPECT or self.recovers(dest):
-            needs = max(needs, self.slow_start.time_for(dest, owed, self.now, self.now) - self.now)
+            needs = max(needs, self.slow_start.budget_available_at(dest, owed, self.now, self.now) - self.now)
         return needs
 
     def is_for_the_next_life(self, m: Message, dest: Destination) -> bool:
@@ -924,10 +939,10 @@
         call there, early enough for all of them."""
         if not m.unattempted:
             return m.message_class.target_latency
-        rounds = math.ceil(self.owed_at[m.destination] / self.most_calls(dest))
+        rounds = math.ceil(self.owed_at[m.destination] / self.max_calls_in_flight(dest))
         return rounds * max(2 * self.late_after(dest), m.message_class.target_latency)
 
-    def clear_to_send(self, now: int, call: str | None, name: str) -> bool:
+    def may_send(self, now: int, call: str | None, name: str) -> bool:
         """The last look, just before a call's first byte (a probe's, without ``call``): a connection may
         have taken long to come up, and what was learned since binds it (rules 2, 3 and 6)."""
         self.now = now
@@ -938,8 +953,8 @@
             dest, host = m.call.destination, m.call.endpoint
             if m.finished or now >= m.deadline or not self.may_repeat(m, host):
                 return False
-        elif call is None and name in self.hosts:
-            dest, host = self.hosts[name]
+        elif call is None and name in self.endpoints:
+            dest, host = self.endpoints[name]
         else:
             return False
         return host.available and now >= dest.retry_after_until
@@ -955,7 +970,7 @@
         """One pass over all that could go now, most urgent first."""
         ready: list[Message] = []
         hopeless: list[tuple[Message, int]] = []
-        for number, waiting in self.waiting.items():
+        for number, waiting in self.waiting_messages.items():
             for dest in self.routes.get(number, ()):
                 self.climb(dest)
             opens = self.opens(number)
@@ -1003,7 +1018,11 @@
     def opens(self, number: int) -> int:
         """When a destination next takes any message, NEVER if only an event can tell."""
         return min(
-            (self.gate(dest, host, None) for dest in self.routes.get(number, ()) for host in dest.endpoints),
+            (
+                self.earliest_send_time(dest, host, None)
+                for dest in self.routes.get(number, ())
+                for host in dest.endpoints
+            ),
             default=NEVER,
         )
 
@@ -1015,7 +1034,7 @@
         best_rank: tuple[float, ...] = ()
         for dest in self.routes[m.destination]:
             for host in dest.endpoints:
-                when = self.gate(dest, host, m)
+                when = self.earliest_send_time(dest, host, m)
                 if when > self.now:
                     if when < NEVER:
                         self.wake_at = min(self.wake_at, when)
@@ -1033,8 +1052,8 @@
         if dest.max_batch_size > 1 and not dest.in_outage:
             others = [
                 o
-                for o in self.waiting[m.destination].values()
-                if o is not m and self.gate(dest, host, o) <= self.now
+                for o in self.waiting_messages[m.destination].values()
+                if o is not m and self.earliest_send_time(dest, host, o) <= self.now
             ]
             others.sort(key=lambda o: (-self.urgency(o), o.deadline, o.arrived_at))
             fill += others[: dest.max_batch_size - 1]
@@ -1059,7 +1078,7 @@
         if dest.rate_limit is not None:
             dest.next_call_at = max(dest.next_call_at, self.now - SECOND) + round(SECOND / dest.rate_limit)
         if dest.failure_rate > SUSPECT or self.recovers(dest):
-            dest.next_trial_at = self.slow_start.time_for(dest, 1.0, self.now, self.now)
+            dest.next_trial_at = self.slow_start.budget_available_at(dest, 1.0, self.now, self.now)
 
     def close_idle(self) -> None:
         """A connection is kept only where the next call comes soon: idle ones of many relays fill a host's
@@ -1084,7 +1103,7 @@
         """Where only messages that cannot be repeated wait on a suspect host, a probe tries first."""
         if self.stopping_at < NEVER:
             return
-        for number, waiting in self.waiting.items():
+        for number, waiting in self.waiting_messages.items():
             if not any(m.message_class.idempotency is Idempotency.UNSAFE for m in waiting.values()):
                 continue
             for dest in self.routes.get(number, ()):
@@ -1093,7 +1112,7 @@
                         dest.failure_rate > SUSPECT
                         and not host.probing
                         and not host.calls_in_flight
-                        and self.gate(dest, host, None) <= self.now
+                        and self.earliest_send_time(dest, host, None) <= self.now
                     ):
                         host.probing = True
                         self.count_call(dest, host)
@@ -1103,29 +1122,31 @@
         """A worse choice than others for now."""
         return host.failure_rate > SUSPECT and host.retry_at > now
 
-    def cluster(self, now: int) -> tuple[int, int]:
+    def endpoint_counts(self, now: int) -> tuple[int, int]:
         """The endpoints that the list names, and how many of them are avoided: those that drain, that are the
         worse choice, or whose destination is in an outage."""
-        return len(self.hosts), sum(
+        return len(self.endpoints), sum(
             not host.available or dest.in_outage or self.is_sick(host, now)
-            for dest, host in self.hosts.values()
+            for dest, host in self.endpoints.values()
         )
 
-    def backlog(self, most: int) -> list[str]:
+    def backlog_lines(self, most: int) -> list[str]:
         """What holds up the destinations that most messages wait for: for the people on call."""
         lines = []
-        for number in sorted(self.waiting, key=lambda number: -len(self.waiting[number]))[:most]:
+        for number in sorted(self.waiting_messages, key=lambda number: -len(self.waiting_messages[number]))[
+            :most
+        ]:
             for dest in self.routes.get(number, ()):
                 pause = (
                     max(dest.retry_after_until, dest.backoff_until, dest.next_call_at, self.now) - self.now
                 )
                 lines.append(
-                    f"dest={number} waiting={len(self.waiting[number])} out={len(dest.calls)}"
-                    f" most={self.most_calls(dest)} ceiling={dest.rate_limit or 0:.2f}/s"
-                    f" part={self.slow_start.part(dest):.2f}/s"
+                    f"dest={number} waiting={len(self.waiting_messages[number])} out={len(dest.calls)}"
+                    f" most={self.max_calls_in_flight(dest)} ceiling={dest.rate_limit or 0:.2f}/s"
+                    f" part={self.slow_start.share_of_rate(dest):.2f}/s"
                     f" listed={dest.listed_rate:.2f}/s mean={dest.mean_response_time / SECOND:.3f}s"
                     f" bad={dest.failure_rate:.2f}"
-                    f" pause={pause / SECOND:.2f}s cold={self.slow_start.is_on(dest, self.now)}"
+                    f" pause={pause / SECOND:.2f}s cold={self.slow_start.is_active(dest, self.now)}"
                 )
         return lines
 
--- a/starlingwick/health_record.py
+++ b/starlingwick/health_record.py
@@ -7,16 +7,16 @@
 from starlingwick.state import Destination
 
 
-def state_of(dest: Destination, slow_start: SlowStart, now: int) -> HealthState:
+def health_state(dest: Destination, slow_start: SlowStart, now: int) -> HealthState:
     """What calls have shown of the destination by ``now``."""
     if dest.in_outage:
         return HealthState.OUTAGE
-    if slow_start.is_on(dest, now):
+    if slow_start.is_active(dest, now):
         return HealthState.RECOVERING
     return HealthState.HEALTHY if dest.unhealthy_since is None else HealthState.SUSPECT
 
 
-def record_of(dest: Destination) -> HealthRecord:
+def to_record(dest: Destination) -> HealthRecord:
     """What is to outlast the process. The destination has at least one endpoint."""
     return HealthRecord(
         destination=dest.number,
@@ -33,7 +33,7 @@
     )
 
 
-def restore(dest: Destination, record: HealthRecord) -> None:
+def restore_health(dest: Destination, record: HealthRecord) -> None:
     """Go on where the process that left the record was."""
     dest.failure_rate, dest.in_outage = record.failure_rate, record.in_outage
     dest.unhealthy_since, dest.last_bad_outcome_at, dest.last_failure_at = (
--- a/starlingwick/interface.py
+++ b/starlingwick/interface.py
@@ -296,7 +296,7 @@
 class PredecessorState:
     """The state that the predecessor handed over when it released the right to send.
 
-    ``facts`` is the result of its ``Pacer.learned()``.
+    ``facts`` is the result of its ``Pacer.handover_state()``.
     """
 
     facts: dict[str, Any]
--- a/starlingwick/listed_rate.py
+++ b/starlingwick/listed_rate.py
@@ -12,7 +12,7 @@
     return round(SECOND * relays / dest.listed_rate) if dest.listed_rate else 0
 
 
-def longest_limit_wait(dest: Destination) -> int:
+def max_limit_wait(dest: Destination) -> int:
     """The longest wait that a limit would tell, nanoseconds: to the end of a span of a second, or until a
     call is due where it takes few. A longer one says that the destination is shut."""
     return max(LIMIT_SPAN, round(2 * SECOND / dest.listed_rate) if dest.listed_rate else 0)
--- a/starlingwick/slow_start.py
+++ b/starlingwick/slow_start.py
@@ -27,20 +27,22 @@
         self.relays = settings.relays
         self.rules = settings.rules
 
-    def is_on(self, dest: Destination, now: int) -> bool:
+    def is_active(self, dest: Destination, now: int) -> bool:
         """Whether the destination may still be cold after an outage."""
         return dest.slow_start_began_at is not None and now < dest.slow_start_ends_at
 
-    def binds(self, dest: Destination, waiting: int, now: int) -> bool:
+    def is_limiting(self, dest: Destination, waiting: int, now: int) -> bool:
         """Whether calls are spaced by the budget: in slow start, and behind it, for as long again at most,
         while more waits than the warm destination may get from this relay within ``overload_window``. All
         relays would let go of that at once, and some take it for warm before it is."""
-        if self.is_on(dest, now):
+        if self.is_active(dest, now):
             return True
         if dest.slow_start_began_at is None or self._is_over(dest, now):
             return False
         return (
-            waiting > 1 + self.rules.overload_multiple * self.part(dest) * self.rules.overload_window / SECOND
+            waiting
+            > 1
+            + self.rules.overload_multiple * self.share_of_rate(dest) * self.rules.overload_window / SECOND
         )
 
     def may_begin(self, dest: Destination, now: int) -> bool:
@@ -51,17 +53,17 @@
         return (
             dest.unhealthy_since is not None
             and dest.last_bad_outcome_at > (dest.slow_start_began_at or 0)
-            and not self.is_on(dest, now)
+            and not self.is_active(dest, now)
             and now - answered > self.rules.overload_window
-            and (dest.last_failure_at > answered or self.sees_little(dest))
+            and (dest.last_failure_at > answered or self.has_little_traffic(dest))
         )
 
-    def sees_little(self, dest: Destination) -> bool:
+    def has_little_traffic(self, dest: Destination) -> bool:
         """Whether this relay's part of what a destination takes is under a call in ``overload_window``, or
         unknown."""
         return not 0 < call_interval(dest, self.relays) <= self.rules.overload_window
 
-    def list_rate(self, dest: Destination, rate: float) -> None:
+    def set_listed_rate(self, dest: Destination, rate: float) -> None:
         """The list names another rate, calls a second. A destination that takes less from now on will not be
         served what it was before the trouble."""
         if 0 < rate < dest.listed_rate and not dest.rate_is_reported:
@@ -81,7 +83,7 @@
         dest.slow_start_ends_at = now + self.rules.slow_start_duration
         dest.unconfirmed = False
 
-    def failed(self, dest: Destination, now: int) -> bool:
+    def on_failure(self, dest: Destination, now: int) -> bool:
         """A call failed in slow start. Whether slow start begins anew: a destination that fails most calls
         answers some of them well before it is back."""
         if not self.is_failing(dest, now):
@@ -98,7 +100,7 @@
         good = len(dest.success_times) - bisect_right(dest.success_times, since)
         return bad > FAILING_SHARE * (bad + good)
 
-    def part(self, dest: Destination) -> float:
+    def share_of_rate(self, dest: Destination) -> float:
         """This relay's part of what the destination takes when warm, calls a second: what it was served
         before the trouble, or an even part of the listed rate where that is more. Listed rates may be half
         too high, and over uneven traffic the larger of the two adds up to more than the destination takes:
@@ -107,13 +109,13 @@
         unseen = max(UNSEEN_CALLS * SECOND / max(self.rules.slow_start_duration, SECOND), UNSEEN_SHARE * even)
         return max(dest.rate_before_outage, min(HEADROOM * (dest.rate_before_outage + unseen), even))
 
-    def size_up(self, dest: Destination, served: float, watched: int) -> None:
+    def record_baseline(self, dest: Destination, served: float, watched: int) -> None:
         """At the first sign of trouble: what was answered well until now, calls a second. For the time that a
         young relay has not ``watched`` of a ramp's, in nanoseconds, it takes an even part to be its own."""
         known = min(1.0, watched / max(1, self.rules.slow_start_duration))
         dest.rate_before_outage = known * served + (1 - known) * dest.listed_rate / self.relays / HEADROOM
 
-    def time_for(self, dest: Destination, calls: float, start: int, now: int) -> int:
+    def budget_available_at(self, dest: Destination, calls: float, start: int, now: int) -> int:
         """When this relay's part of what a destination may get, in trouble or in slow start, has grown by so
         many calls from ``start`` on. All relays share it, or as many as can have had a call for it in the
         trouble's time (a ramp at least). Of unknown capacity, all relays together are taken to get a call a
@@ -124,7 +126,7 @@
             SECOND,
             dest.last_bad_outcome_at - (dest.unhealthy_since or dest.last_bad_outcome_at),
         )
-        part = max(self.part(dest) / SECOND, 1 / lasted, 1 / SECOND / self.relays)
+        part = max(self.share_of_rate(dest) / SECOND, 1 / lasted, 1 / SECOND / self.relays)
         pace = rules.overload_multiple * part
         if dest.slow_start_began_at is None or self._is_over(dest, now):
             return start + round(calls / (TRIAL_SHARE * pace * rules.slow_start_initial_share))
--- a/starlingwick/state.py
+++ b/starlingwick/state.py
@@ -104,9 +104,8 @@
     send_times: list[int] = field(default_factory=list)
     arrival_times: list[int] = field(default_factory=list)
     success_times: list[int] = field(default_factory=list)
-    failure_times: list[int] = field(
-        default_factory=list
-    )  # failed calls, and throttled ones that no limit explains
+    # failed calls, and throttled ones that no limit explains
+    failure_times: list[int] = field(default_factory=list)
     calls: list[Call] = field(default_factory=list)
 
 
@@ -141,9 +140,8 @@
     possible_run_at: int | None = None  # send time of the first attempt that may have been executed
     possible_run_zone: int = 0
     finished: bool = False
-    unattempted: bool = (
-        False  # accepted by a previous process and never sent: it gets a call before it is given up
-    )
+    # accepted by a previous process and never sent: it gets a call before it is given up
+    unattempted: bool = False
 
     @property
     def target_at(self) -> int:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from starlingwick import interface as io
-from starlingwick.health_record import record_of
+from starlingwick.health_record import to_record
 from tests.helpers import MS, SAFE, Relay, S, entry
 from tests.partner import HUNG, MESSAGE_WEIGHT, RESET, SOMETIMES_TOLD, Arrival, Outage, Partner
 from tests.test_rules import recovered
@@ -201,7 +201,7 @@
     def kept(self, before: Relay) -> list[io.Event]:
         """What the folder holds of a relay's health records."""
         routes = [route for known in before.pacer.routes.values() for route in known]
-        records = tuple(record_of(route) for route in routes if route.unhealthy_since is not None)
+        records = tuple(to_record(route) for route in routes if route.unhealthy_since is not None)
         return [io.HealthRestored(records)]
 
     def again_taken(self, at: int, m: Any) -> io.MessageRecovered:
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -19,7 +19,7 @@
 from garnetrelay import discovery, endpoint_cache
 from garnetrelay.catalog import Catalog, Endpoint
 from garnetrelay.config import Address, Config, ConfigError, load
-from garnetrelay.discovery import Lines, Reader
+from garnetrelay.discovery import LineReader, EntryParser
 from garnetrelay.endpoint_cache import EndpointCache
 from garnetrelay.relay import Relay
 from starlingwick import interface as io
@@ -62,13 +62,15 @@
         table = {name: each for name, each in table.items() if each.availability is not DELETED}
         for dest in range(1, 5):
             found = catalog.find(dest)
-            assert {each.name: each for each in found} == {n: e for n, e in table.items() if e.dest == dest}
+            assert {each.name: each for each in found} == {
+                n: e for n, e in table.items() if e.destination == dest
+            }
             assert len(found) == len({each.name for each in found})
             assert dest in touched or found == before[dest]
             assert catalog.knows(dest) or not found and not before[dest]
         assert set(catalog) == table.keys() and len(catalog) == len(table)
         assert catalog.draining == sum(each.availability is STOPPING for each in table.values())
-        assert all(catalog.destination(name) == each.dest for name, each in table.items())
+        assert all(catalog.destination(name) == each.destination for name, each in table.items())
 
 
 def test_destination_that_was_listed_once_is_not_unknown() -> None:
@@ -92,8 +94,8 @@
     zone_names, kind_names, memory_bytes = ("north", "south"), ("plain",), 64_000_000
 
 
-def reader(catalog: Catalog) -> Reader:
-    return Reader(Names, catalog.stage)  # type: ignore[arg-type]
+def reader(catalog: Catalog) -> EntryParser:
+    return EntryParser(Names, catalog.stage)  # type: ignore[arg-type]
 
 
 def lines(count: int, **facts: Any) -> list[dict[str, Any]]:
@@ -135,7 +137,7 @@
     assert len(long) > discovery.MOST_KEPT
     data = "\n".join(["", small, "", long, "", small, ""]).encode()
     catalog = Catalog()
-    feed = Lines(reader(catalog))
+    feed = LineReader(reader(catalog))
     news = [each for piece in pieces(data, seed) for each in feed.feed(piece)]
     assert [(each.index, each.whole) for each in news] == [(1, False), (42, True), (1, False)]
     catalog.commit(news[1].staged, 42, True)
@@ -180,7 +182,7 @@
     text = spoil(json.dumps({"index": 42, "snapshot": True, "endpoints": lines(1500)}))
     data = (text if isinstance(text, bytes) else text.encode()) + b"\n\n"
     with pytest.raises(ValueError):
-        feed = Lines(reader(Catalog()))
+        feed = LineReader(reader(Catalog()))
         assert [each for piece in pieces(data, 1) for each in feed.feed(piece)] == []
 
 
@@ -188,7 +190,11 @@
     small = reader(Catalog())
     small.most_staged = 50_000
     with pytest.raises(ValueError, match="50000 bytes"):
-        list(Lines(small).feed(json.dumps({"index": 1, "snapshot": True, "endpoints": lines(3000)}).encode()))
+        list(
+            LineReader(small).feed(
+                json.dumps({"index": 1, "snapshot": True, "endpoints": lines(3000)}).encode()
+            )
+        )
 
 
 # ---- kept on the disk
@@ -199,7 +205,7 @@
 
 
 async def keep(kept: EndpointCache, catalog: Catalog, changed: set[int], whole: bool) -> None:
-    kept.keep(catalog, changed, whole)
+    kept.store(catalog, changed, whole)
     if kept.writing is not None:
         await kept.writing
 
@@ -223,10 +229,10 @@
 
 async def test_change_that_comes_while_the_list_is_written_is_in_it(tmp_path: Path) -> None:
     catalog, kept = Catalog(), kept_list(tmp_path)
-    kept.keep(catalog, committed(catalog, 7, True, *(one(f"s{n}", n) for n in range(2000))), True)
+    kept.store(catalog, committed(catalog, 7, True, *(one(f"s{n}", n) for n in range(2000))), True)
     await asyncio.sleep(endpoint_cache.PAUSE)
     for version, change in enumerate([one("s1", 1, DELETED), one("s1999", 1999, DELETED), one("x", 9)], 8):
-        kept.keep(catalog, committed(catalog, version, False, change), False)
+        kept.store(catalog, committed(catalog, version, False, change), False)
     assert kept.writing is not None
     await kept.writing
     restored = Catalog()
@@ -240,7 +246,7 @@
     await keep(kept, catalog, committed(catalog, 1, True, one("a")), True)
     for version in range(2, 2500):
         await keep(kept, catalog, committed(catalog, version, False, one("a", port=version)), False)
-        assert (tmp_path / "list").stat().st_size < 2 * endpoint_cache.ANEW_FROM
+        assert (tmp_path / "list").stat().st_size < 2 * endpoint_cache.MIN_REWRITE_BYTES
     restored = Catalog()
     assert kept.load(restored, known=0) and content(restored) == content(catalog)
     kept.close()
@@ -330,7 +336,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, calls: tuple[str, ...]
 ) -> None:
     """With no further change of the list."""
-    monkeypatch.setattr(endpoint_cache, "AGAIN_AFTER_ERROR", 0.05)
+    monkeypatch.setattr(endpoint_cache, "RETRY_DELAY_AFTER_ERROR", 0.05)
     catalog, kept = Catalog(), kept_list(tmp_path)
     disk = FailingDisk(monkeypatch, errno.ENOSPC, calls)
     await keep(kept, catalog, committed(catalog, 7, True, one("a")), True)
@@ -367,10 +373,10 @@
     assert len(relay.catalog) == 30_001
     await client.enqueue("m1", dest=14_999)
     (await field.host.next_call()).answer(200)
-    assert set(relay.pacer.hosts) == {"e-29998", "e-29999"}
+    assert set(relay.pacer.endpoints) == {"e-29998", "e-29999"}
     watch.line(listing(51, {**lines(30_000)[29_998], "status": "Gone"}, {**lines(1)[0], "group": 14_999}))
     await until(lambda: relay.catalog.version == 51 and not relay.inbox)
-    assert set(relay.pacer.hosts) == {"e-0", "e-29999"} == set(relay.hosts.addresses)
+    assert set(relay.pacer.endpoints) == {"e-0", "e-29999"} == set(relay.connection_pool.addresses)
 
 
 async def restarted(field: Field) -> tuple[Relay, str, Client]:
@@ -387,7 +393,7 @@
     relay = field.relays[0]
     watch = await field.platform.next_watch()
     watch.line(big_list(field, 50, 3000))
-    await until(lambda: relay.kept is not None and relay.kept.file is not None)
+    await until(lambda: relay.endpoint_cache is not None and relay.endpoint_cache.file is not None)
     watch.line(listing(51, lines(1, group=9000, address=field.host.address)[0]))
     await until(lambda: relay.catalog.version == 51)
     relay.server.stop()
@@ -407,7 +413,7 @@
     relay = field.relays[0]
     watch = await field.platform.next_watch()
     watch.line(listing(50, endpoint(field.host), endpoint(field.host, "s-2"), snapshot=True))
-    await until(lambda: relay.kept is not None and relay.kept.file is not None)
+    await until(lambda: relay.endpoint_cache is not None and relay.endpoint_cache.file is not None)
     relay.server.stop()
     relay.close()
     field.relays.clear()
@@ -443,7 +449,9 @@
     await field.start()
     watch = await field.platform.next_watch()
     watch.line(listing(42, endpoint(field.host, status=status)))
-    await until(lambda: field.relays[0].kept is not None and field.relays[0].kept.file is not None)
+    await until(
+        lambda: field.relays[0].endpoint_cache is not None and field.relays[0].endpoint_cache.file is not None
+    )
     field.relays[0].server.stop()
     field.relays[0].close()
     field.relays.clear()
@@ -490,7 +498,7 @@
     tracemalloc.start()
     config = load(environment)
     catalog = Catalog()
-    news = Reader(config, catalog.stage).read_known(config)
+    news = EntryParser(config, catalog.stage).read_known(config)
     catalog.commit(news.staged, news.index, news.whole)
     held, most = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -53,7 +53,7 @@
         await field.host.opened.get()
         for writer in list(field.host.writers):
             writer.transport.abort()
-        await until(lambda: connection not in field.relays[0].hosts.open)
+        await until(lambda: connection not in field.relays[0].connection_pool.open)
 
     on_next_connection(monkeypatch, breaks)
     await client.enqueue("m1", "unsafe")
@@ -102,7 +102,7 @@
     await until(
         lambda: any(
             one.transport is not None and one.transport.get_write_buffer_size() > 0
-            for one in field.relays[0].hosts.open
+            for one in field.relays[0].connection_pool.open
         )
     )
     yield narrow, side
@@ -151,17 +151,15 @@
     client = await field.start()
     await field.warm(client)
     relay = field.relays[0]
-    await until(lambda: any(relay.hosts.idle.values()))
-    connection = relay.hosts.idle["s-1"][-1]
+    await until(lambda: any(relay.connection_pool.idle.values()))
+    connection = relay.connection_pool.idle["s-1"][-1]
     timer = connection.timer
     assert timer is not None
-    clear, answers = relay.pacer.clear_to_send, [False]
-    monkeypatch.setattr(
-        relay.pacer, "clear_to_send", lambda *args: answers.pop() if answers else clear(*args)
-    )
+    clear, answers = relay.pacer.may_send, [False]
+    monkeypatch.setattr(relay.pacer, "may_send", lambda *args: answers.pop() if answers else clear(*args))
     await client.enqueue("m1")
     await until(lambda: not answers)
-    await until(lambda: connection in relay.hosts.idle.get("s-1", ()))
+    await until(lambda: connection in relay.connection_pool.idle.get("s-1", ()))
     assert timer.cancelled() and connection.timer is not timer
     (await field.host.next_call()).answer(200)
     await until(lambda: not relay.held)
@@ -306,7 +304,7 @@
     server.stop()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(server.address)
-    assert not server.quiet  # the process must not end before it has looked at them
+    assert not server.is_quiescent  # the process must not end before it has looked at them
     client = Client(*await asyncio.open_connection(sock=late))
     assert await client.read() == b"late" and await client.read() is None
     for one in waiting:
@@ -340,7 +338,7 @@
 async def test_request_that_is_overdue_just_as_a_part_of_it_comes_is_closed_at_once(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "REQUEST_TIME", 1000.0)
+    monkeypatch.setattr(clients, "REQUEST_TIMEOUT", 1000.0)
     client = await field.start()
     server = field.relays[0].server
     await until(lambda: len(server.connections) == 1)
@@ -363,7 +361,7 @@
     client.write("ENQUEUE", "0", "m2", "c=safe,d=8000,dest=3", "x")
     relay.ending = True
     assert await client.read() == "BUSY"
-    await relay.end()
+    await relay.finish_connections()
     assert await client.read() is None
     assert set(relay.journal.entries) == {"m1"}
 
@@ -374,13 +372,13 @@
 ) -> None:
     client = await field.start()
     relay = field.relays[0]
-    ended, copies = relay.journal.ended, []
+    ended, copies = relay.journal.record_finish, []
 
     def killed(*args: Any) -> None:
         copies.append((field.state / "journal").read_bytes())
         ended(*args)
 
-    monkeypatch.setattr(relay.journal, "ended", killed)
+    monkeypatch.setattr(relay.journal, "record_finish", killed)
     await client.enqueue("m1", "unsafe")
     (await field.host.next_call()).answer(status)
     await until(lambda: not relay.held)
@@ -422,7 +420,7 @@
     relay = Relay(dataclasses.replace(field.config(), inherited_fd=os.dup(listener.fileno())))
     field.relays.append(relay)
     await relay.start()
-    relay.stop()
+    relay.shutdown()
     os.close(lock)  # the process before it lets go just now
     assert relay.overseer is not None
     async with asyncio.timeout(PATIENCE):
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -63,7 +63,7 @@
     relay = field.relays[0]
     relay.server.stop()
     relay.drain()
-    relay.undrain()
+    relay.resume()
     assert await client.enqueue("m1") == b"OK"
     assert await client.read() is None
     (await field.host.next_call()).answer(200)
@@ -78,6 +78,6 @@
     server.stop()
     assert await first.read() is None
     oldest.quiet_from -= FIRST_REQUEST
-    server.close_silent()
+    server.close_unused_connections()
     assert await silent.read() is None
     assert await new.ask("PING") == b"PONG"
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -13,7 +13,7 @@
 
 from garnetrelay.handover import Handover
 from garnetrelay.clock import monotonic_ms
-from garnetrelay.journal import Entry, Journal
+from garnetrelay.journal import JournalEntry, Journal
 from garnetrelay.ownership import Ownership
 from tests.faults import FailingDisk
 from tests.sockets import Client, Field, until
@@ -22,8 +22,8 @@
 ERRORS = [errno.ENOSPC, errno.EIO, errno.EDQUOT]
 
 
-def entry(ref: str, klass: str = "unsafe", patience_ms: int = 60_000) -> Entry:
-    return Entry(ref, klass, 3, "k", monotonic_ms() + patience_ms, b"body")
+def entry(ref: str, klass: str = "unsafe", patience_ms: int = 60_000) -> JournalEntry:
+    return JournalEntry(ref, klass, 3, "k", monotonic_ms() + patience_ms, b"body")
 
 
 @pytest.mark.parametrize("number", ERRORS)
@@ -32,14 +32,14 @@
 ) -> None:
     journal = Journal(tmp_path, DISK)
     for ref in ("bounced", "told"):
-        assert journal.taken(entry(ref))
-    journal.ended("told", "dead")
+        assert journal.accept(entry(ref))
+    journal.record_finish("told", "dead")
     disk = FailingDisk(monkeypatch, number, ("write",))
-    journal.ended("bounced", "bounced", 500)
-    journal.told("told")
+    journal.record_finish("bounced", "bounced", 500)
+    journal.record_notified("told")
     disk.failing = False
     for count in range(20):
-        assert journal.taken(entry(f"later{count}"))
+        assert journal.accept(entry(f"later{count}"))
     journal.close()
     entries = Journal(tmp_path, DISK).entries
     assert entries["bounced"].ended == "bounced" and entries["bounced"].wait_ms == 500
@@ -50,12 +50,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = Journal(tmp_path, DISK)
-    assert journal.taken(entry("m1"))
+    assert journal.accept(entry("m1"))
     disk = FailingDisk(monkeypatch, errno.ENOSPC, ("write",))
-    assert not journal.trying("m1", "north", 1000)
+    assert not journal.record_attempt_start("m1", "north", 1000)
     assert journal.entries["m1"].attempts == 0 and journal.entries["m1"].trying_at is None
     disk.failing = False
-    assert journal.trying("m1", "north", 2000)
+    assert journal.record_attempt_start("m1", "north", 2000)
     assert journal.entries["m1"].attempts == 1
 
 
@@ -65,7 +65,7 @@
 ) -> None:
     """The disk takes a part of a record, then nothing; the part cannot be cut off at once, or it can."""
     journal = Journal(tmp_path, DISK)
-    assert journal.taken(entry("before"))
+    assert journal.accept(entry("before"))
     write, written = os.write, [0]
 
     def half(file: int, data: Any) -> int:
@@ -78,10 +78,10 @@
         patch.setattr(os, "write", half)
         if cut_fails:
             FailingDisk(patch, errno.EIO, ("ftruncate",))
-        assert not journal.taken(entry("refused"))
+        assert not journal.accept(entry("refused"))
         assert not journal.has_room(100)
     assert journal.flush() and journal.has_room(100)
-    assert journal.taken(entry("after"))
+    assert journal.accept(entry("after"))
     journal.close()
     assert list(Journal(tmp_path, DISK).entries) == ["before", "after"]
 
@@ -94,7 +94,7 @@
     journal = Journal(tmp_path, DISK)
     disk = FailingDisk(monkeypatch, number, ("write", "open"))
     for count in range(50):
-        assert not journal.taken(entry(f"m{count}"))
+        assert not journal.accept(entry(f"m{count}"))
     assert len(caplog.records) == 1 and disk.failed >= 50
     disk.failing = False
     assert journal.flush()
@@ -106,7 +106,7 @@
 ) -> None:
     journal = Journal(tmp_path, DISK)
     for count in range(20):
-        assert journal.taken(entry(f"m{count}"))
+        assert journal.accept(entry(f"m{count}"))
     journal.close()
     pread = os.pread
     monkeypatch.setattr(os, "pread", lambda file, size, at: pread(file, min(size, 100), at))
@@ -117,14 +117,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = Journal(tmp_path, DISK)
-    assert journal.taken(entry("whole")) and journal.taken(entry("torn"))
+    assert journal.accept(entry("whole")) and journal.accept(entry("torn"))
     journal.close()
     os.truncate(tmp_path / "journal", (tmp_path / "journal").stat().st_size - 3)
     with monkeypatch.context() as patch:
         FailingDisk(patch, errno.EIO, ("ftruncate",))
         journal = Journal(tmp_path, DISK)
-        assert not journal.taken(entry("refused"))
-    assert journal.flush() and journal.taken(entry("after"))
+        assert not journal.accept(entry("refused"))
+    assert journal.flush() and journal.accept(entry("after"))
     journal.close()
     assert list(Journal(tmp_path, DISK).entries) == ["whole", "after"]
 
@@ -132,7 +132,7 @@
 # ---- a relay whose folder fails
 
 
-def on_record(field: Field, ref: str) -> Entry | None:
+def on_record(field: Field, ref: str) -> JournalEntry | None:
     """What a process that starts after a kill at this moment would find."""
     journal = field.relays[0].journal.own
     assert journal is not None
@@ -228,7 +228,7 @@
     field: Field, monkeypatch: pytest.MonkeyPatch, calls: tuple[str, ...]
 ) -> None:
     before = Journal(field.state, DISK)
-    assert before.taken(entry("old", "safe", 8000))
+    assert before.accept(entry("old", "safe", 8000))
     before.close()
     disk = FailingDisk(monkeypatch, errno.EIO, calls)
     client = await field.start()
@@ -247,16 +247,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first = Ownership(tmp_path, DISK, shared=True)
-    assert first.taken(entry("m1"))
+    assert first.accept(entry("m1"))
     second = Ownership(tmp_path, DISK, shared=True)
     first.close()
-    assert [one.ref for one in second.take_up()] == ["m1"]
+    assert [one.ref for one in second.acquire_free_journals()] == ["m1"]
     disk = FailingDisk(monkeypatch, errno.EIO, ("unlink",))
-    second.ended("m1", None)
+    second.record_finish("m1", None)
     assert sorted(path.name for path in tmp_path.iterdir()) == ["journal", "journal.1"]
     disk.failing = False
-    assert second.taken(entry("m2"))
-    second.ended("m2", None)
+    assert second.accept(entry("m2"))
+    second.record_finish("m2", None)
     assert [path.name for path in tmp_path.iterdir()] == ["journal.1"]
 
 
@@ -267,12 +267,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old, new = Handover(tmp_path, 100_000), Handover(tmp_path, 100_000)
-    assert old.take() and not new.take()
+    assert old.acquire() and not new.acquire()
     write = os.write
     monkeypatch.setattr(os, "write", lambda file, data: write(file, bytes(data)[:10]))
-    old.pass_on({"learned": {"hosts": {}}, "out": 1})
-    old.tell({"told": "s-1", "wait": 5})
-    assert new.take() and new.read() == [{"learned": {"hosts": {}}, "out": 1}, {"told": "s-1", "wait": 5}]
+    old.release({"learned": {"hosts": {}}, "out": 1})
+    old.append_line({"told": "s-1", "wait": 5})
+    assert new.acquire() and new.read() == [{"learned": {"hosts": {}}, "out": 1}, {"told": "s-1", "wait": 5}]
 
 
 @pytest.mark.parametrize("number", ERRORS)
@@ -280,8 +280,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
     old, new = Handover(tmp_path, 100_000), Handover(tmp_path, 100_000)
-    assert old.take()
-    old.pass_on({"learned": {}, "out": 1})
+    assert old.acquire()
+    old.release({"learned": {}, "out": 1})
     write, failing = os.write, [True]
 
     def half(file: int, data: Any) -> int:
@@ -290,10 +290,10 @@
         return write(file, bytes(data)[: len(data) - 5] if failing[0] else data)
 
     monkeypatch.setattr(os, "write", half)
-    old.tell({"told": "s-1", "wait": 5})
+    old.append_line({"told": "s-1", "wait": 5})
     failing[0] = False
-    old.tell({"told": "s-2", "wait": 6})
-    assert new.take()
+    old.append_line({"told": "s-2", "wait": 6})
+    assert new.acquire()
     lines = new.read()
     assert {"told": "s-1", "wait": 5} in lines and {"told": "s-2", "wait": 6} in lines
 
@@ -303,13 +303,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, calls: tuple[str, ...]
 ) -> None:
     old = Handover(tmp_path, 100_000)
-    assert old.take()
-    old.pass_on({"learned": {}, "out": 0})
+    assert old.acquire()
+    old.release({"learned": {}, "out": 0})
     disk = FailingDisk(monkeypatch, errno.EIO, calls)
     new = Handover(tmp_path, 100_000)
-    taken = new.take()
+    taken = new.acquire()
     assert new.read() == [] or calls == ("unlink",)
-    new.forget()
+    new.discard()
     disk.failing = False
-    assert taken or new.take()
+    assert taken or new.acquire()
     assert calls == ("unlink",) or new.read() == [{"learned": {}, "out": 0}]
--- a/tests/test_fleetlab.py
+++ b/tests/test_fleetlab.py
@@ -26,7 +26,7 @@
 from fleetlab.fleet import Destination, Fleet, OutageKind, Plan, list_line
 from fleetlab.ledger import End, Entry, Ledger, Message, Rule, State, Timed
 from garnetrelay.catalog import Catalog
-from garnetrelay.discovery import Lines, Reader
+from garnetrelay.discovery import LineReader, EntryParser
 from starlingwick.settings import parse_settings
 from tests.processes import ROOT
 from tests.sockets import PATIENCE
@@ -73,8 +73,8 @@
     facts = fleet.settings(100.0)
     names = SimpleNamespace(zone_names=facts["azs"], kind_names=facts["kinds"], memory_bytes=128_000_000)
     catalog = Catalog()
-    reader = Reader(names, catalog.stage)  # type: ignore[arg-type]
-    (news,) = Lines(reader).feed(json.dumps(whole).encode() + b"\n")
+    reader = EntryParser(names, catalog.stage)  # type: ignore[arg-type]
+    (news,) = LineReader(reader).feed(json.dumps(whole).encode() + b"\n")
     catalog.commit(news.staged, news.index, news.whole)
     assert news.whole and catalog.version == whole["index"]
     return set(catalog)
@@ -442,7 +442,7 @@
 def test_a_relay_that_tells_no_notices_fails_the_run(tmp_path: Path) -> None:
     out = tmp_path / "result.json"
     mute = (
-        "import runpy; from garnetrelay.notices import Notices; Notices.tell = lambda *words: None; "
+        "import runpy; from garnetrelay.notices import Notices; Notices.queue_notice = lambda *words: None; "
         "runpy.run_module('garnetrelay', run_name='__main__')"
     )
     words = [*SMALL, "--length", "3", "--deadline", "2", "--settle", "1", "--down", "0.6", "--restarts", "0"]
--- a/tests/test_health_store.py
+++ b/tests/test_health_store.py
@@ -10,7 +10,7 @@
 import pytest
 
 from garnetrelay import health_store
-from garnetrelay.health_store import FURTHEST_AHEAD, HealthStore
+from garnetrelay.health_store import MAX_TIME_AHEAD, HealthStore
 from starlingwick.interface import HealthRecord
 from tests.helpers import S
 
@@ -26,7 +26,7 @@
 def kept(folder: Path, *records: HealthRecord, room: int = ROOM) -> HealthStore:
     store = HealthStore(folder, room)
     store.load(NOW)
-    store.keep(records)
+    store.store(records)
     store.close()
     return store
 
@@ -62,7 +62,7 @@
 def test_file_stays_within_its_bound_and_keeps_the_latest(tmp_path: Path) -> None:
     store = HealthStore(tmp_path, ROOM)
     for number in range(500):
-        store.keep([record(number % 40, f"host-{number % 40}", last_bad_outcome_at=NOW - S + number)])
+        store.store([record(number % 40, f"host-{number % 40}", last_bad_outcome_at=NOW - S + number)])
         assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= ROOM
     store.close()
     assert loaded(tmp_path)[-1].last_bad_outcome_at == NOW - S + 499
@@ -117,7 +117,7 @@
 
 
 def test_time_beyond_any_wait_counts_as_just_now(tmp_path: Path) -> None:
-    kept(tmp_path, record(1, last_bad_outcome_at=NOW + FURTHEST_AHEAD + 1))
+    kept(tmp_path, record(1, last_bad_outcome_at=NOW + MAX_TIME_AHEAD + 1))
     assert loaded(tmp_path)[0].last_bad_outcome_at == NOW
 
 
@@ -126,15 +126,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     store = HealthStore(tmp_path, ROOM)
-    store.keep([record(1)])
+    store.store([record(1)])
 
     def fail(*_: object) -> int:
         raise OSError(28, "No space left on device")
 
     with monkeypatch.context() as patch:
         patch.setattr(os, "write", fail)
-        store.keep([record(2, "b")])
-        store.keep([record(3, "c")])
+        store.store([record(2, "b")])
+        store.store([record(3, "c")])
         assert [one.destination for one in loaded(tmp_path)] == [1]
     assert caplog.text.count("cannot be kept") == 1
     store.flush()
--- a/tests/test_introduced.py
+++ b/tests/test_introduced.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def few(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control, "MOST_USED", USED)
+    monkeypatch.setattr(control, "MAX_LOADED_DESTINATIONS", USED)
 
 
 def introduced(relay: Relay, dest: int) -> None:
@@ -43,8 +43,8 @@
 def test_longest_unused_destinations_are_let_go_and_nothing_else_changes(few: None) -> None:
     relay = Relay()
     assert serve_many(relay, range(1, 101)) == set(range(1, 101 - USED))
-    assert set(relay.pacer.routes) == set(range(101 - USED, 101)) == set(relay.pacer.introduced)
-    assert set(relay.pacer.hosts) == {f"h{dest}" for dest in range(101 - USED, 101)}
+    assert set(relay.pacer.routes) == set(range(101 - USED, 101)) == set(relay.pacer.loaded_destinations)
+    assert set(relay.pacer.endpoints) == {f"h{dest}" for dest in range(101 - USED, 101)}
     introduced(relay, 1)
     relay.turn(relay.message(dest=1))
     assert [send.endpoint for send in relay.sends()] == ["h1"]
@@ -80,7 +80,7 @@
     if status is io.Status.FULL and not wait:
         return  # a refusal alone binds for its own pause
     assert 1 not in released and relay.pacer.routes[1][0].retry_after_until == until_then
-    assert not relay.pacer.may_forget(1)
+    assert not relay.pacer.can_evict(1)
 
 
 def test_destination_with_a_message_or_a_call_is_not_let_go(few: None) -> None:
@@ -93,7 +93,7 @@
         relay.message(dest=2),
     )
     assert serve_many(relay, range(3, 60)).isdisjoint({1, 2})
-    assert relay.pacer.messages["m1"].call is not None and "m2" in relay.pacer.waiting[2]
+    assert relay.pacer.messages["m1"].call is not None and "m2" in relay.pacer.waiting_messages[2]
 
 
 def test_destination_without_hosts_is_let_go_too(few: None) -> None:
@@ -102,7 +102,7 @@
         relay.turn(io.DestinationLoaded(dest, ()))
     for _ in range(30):
         relay.turn(after=MS)
-    assert len(relay.pacer.introduced) == USED
+    assert len(relay.pacer.loaded_destinations) == USED
 
 
 def test_listed_destinations_are_never_let_go(few: None) -> None:
@@ -136,11 +136,13 @@
             call.answer(200)
             await until(lambda: len(relay.held) <= 1)
     await until(lambda: not relay.inbox)
-    assert len(relay.used) <= USED + 4 and relay.used.keys() == relay.pacer.introduced.keys()
-    assert set(relay.hosts.addresses) == set(relay.zones) == set(relay.pacer.hosts)
     assert (
-        relay.pacer.routes[0][0].retry_after_until > relay.pacer.now
-    )  # longer than all that has been let go since
+        len(relay.loaded_endpoints) <= USED + 4
+        and relay.loaded_endpoints.keys() == relay.pacer.loaded_destinations.keys()
+    )
+    assert set(relay.connection_pool.addresses) == set(relay.zones) == set(relay.pacer.endpoints)
+    # longer than all that has been let go since
+    assert relay.pacer.routes[0][0].retry_after_until > relay.pacer.now
     assert relay.metrics.current <= 1 and len(relay.catalog) == count
 
 
@@ -150,7 +152,7 @@
     watch = await field.platform.next_watch()
     other = HttpServer()
     await other.start()
-    assert not relay.pacer.hosts
+    assert not relay.pacer.endpoints
     watch.line(listing(42, {**endpoint(field.host), "status": "Gone"}, endpoint(other, "s-2")))
     watch.line(listing(43, {**endpoint(other, "s-3"), "status": "Terminating"}))
     await until(lambda: relay.catalog.version == 43)
@@ -158,7 +160,7 @@
     assert (relay.metrics.cluster_size, relay.metrics.cluster_unhealthy) == (2, 1)
     await client.enqueue("m1")
     (await other.next_call()).answer(200)
-    assert isinstance(relay.catalog, Catalog) and set(relay.pacer.hosts) == {"s-2", "s-3"}
+    assert isinstance(relay.catalog, Catalog) and set(relay.pacer.endpoints) == {"s-2", "s-3"}
     await asyncio.sleep(0.25)
     assert (relay.metrics.cluster_size, relay.metrics.cluster_unhealthy) == (2, 1)
     await other.stop()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -12,29 +12,29 @@
 
 from garnetrelay import journal as journal_module
 from garnetrelay.clock import boot_id, monotonic_ms, wall_offset_ms
-from garnetrelay.journal import Entry, Journal, weight
+from garnetrelay.journal import JournalEntry, Journal, record_weight
 
 DISK = 3_000_000
 
 
-def entry(ref: str, body: bytes = b"body") -> Entry:
-    return Entry(ref, "unsafe", 3, "k", 1_900_000_000_000, body)
+def entry(ref: str, body: bytes = b"body") -> JournalEntry:
+    return JournalEntry(ref, "unsafe", 3, "k", 1_900_000_000_000, body)
 
 
 def test_whole_life_of_a_message_is_read_back(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK)
     body = bytes(range(256)) * 256 + b"\n\xa7R\n"  # 64 KiB of anything, also what marks a record
     for ref in ("held", "tried", "ran", "dead", "told", "delivered"):
-        assert journal.taken(entry(ref, body))
+        assert journal.accept(entry(ref, body))
     for ref in ("tried", "ran", "delivered"):
-        assert journal.trying(ref, "north", 1000)
-    journal.outcome("ran", True)
-    journal.trying("ran", "south", 2000)
-    journal.outcome("ran", False)
-    journal.ended("dead", "dead")
-    journal.ended("told", "bounced", 500)
-    journal.told("told")
-    journal.ended("delivered", None)
+        assert journal.record_attempt_start(ref, "north", 1000)
+    journal.record_outcome("ran", True)
+    journal.record_attempt_start("ran", "south", 2000)
+    journal.record_outcome("ran", False)
+    journal.record_finish("dead", "dead")
+    journal.record_finish("told", "bounced", 500)
+    journal.record_notified("told")
+    journal.record_finish("delivered", None)
     journal.close()
     entries = Journal(tmp_path, DISK).entries
     assert sorted(entries) == ["dead", "held", "ran", "tried"]
@@ -50,10 +50,10 @@
     for life, (zone, now) in enumerate((("north", 1000), ("south", 2000), ("south", 3000))):
         journal = Journal(tmp_path, DISK)
         if not life:
-            assert journal.taken(entry("cut off"))
-        assert journal.trying("cut off", zone, now)
+            assert journal.accept(entry("cut off"))
+        assert journal.record_attempt_start("cut off", zone, now)
         if life:
-            journal.outcome("cut off", False)
+            journal.record_outcome("cut off", False)
         journal.close()
     kept = Journal(tmp_path, DISK).entries["cut off"]
     assert (kept.ran_at, kept.ran_zone, kept.attempts) == (1000, "north", 3)
@@ -61,14 +61,14 @@
 
 def test_torn_tail_is_cut_and_writing_goes_on(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK)
-    journal.taken(entry("a"))
-    journal.taken(entry("b"))
+    journal.accept(entry("a"))
+    journal.accept(entry("b"))
     journal.close()
     path = tmp_path / "journal"
     os.truncate(path, path.stat().st_size - 3)  # a kill within a write
     journal = Journal(tmp_path, DISK)
     assert list(journal.entries) == ["a"] and not journal.entries["a"].uncertain
-    journal.taken(entry("c"))
+    journal.accept(entry("c"))
     journal.close()
     assert list(Journal(tmp_path, DISK).entries) == ["a", "c"]
 
@@ -76,10 +76,10 @@
 def test_damaged_record_is_passed_over_and_makes_earlier_messages_uncertain(tmp_path: Path) -> None:
     """The record that is lost may have been an attempt: what was held then may have run."""
     journal = Journal(tmp_path, DISK)
-    journal.taken(entry("a"))
+    journal.accept(entry("a"))
     at = (tmp_path / "journal").stat().st_size
-    journal.trying("a", "north", 1000)
-    journal.taken(entry("b"))
+    journal.record_attempt_start("a", "north", 1000)
+    journal.accept(entry("b"))
     journal.close()
     for offset in (at + 4, at + 14):  # in its length, then in its payload
         data = bytearray((tmp_path / "journal").read_bytes())
@@ -98,18 +98,18 @@
     held: list[str] = []
     for n in range(2000):
         if journal.has_room(5000):
-            assert journal.taken(entry(f"m{n}", bytes(5000)))
+            assert journal.accept(entry(f"m{n}", bytes(5000)))
             held.append(f"m{n}")
         else:
             refused += 1
         if len(held) > 8:
-            journal.trying(held[0], "north", n)
-            journal.ended(held.pop(0), None)
+            journal.record_attempt_start(held[0], "north", n)
+            journal.record_finish(held.pop(0), None)
         rewritten = sum(len(e.body) + 300 for e in journal.entries.values())
         most = max(most, (tmp_path / "journal").stat().st_size + rewritten)
     assert most < 200_000 and refused == 0
     while journal.has_room(5000):
-        assert journal.taken(entry(f"more{len(journal.entries)}", bytes(5000)))
+        assert journal.accept(entry(f"more{len(journal.entries)}", bytes(5000)))
     assert 2 * sum(len(e.body) for e in journal.entries.values()) > 100_000
     journal.close()
     assert len(Journal(tmp_path, 200_000).entries) == len(journal.entries)
@@ -120,8 +120,8 @@
     """As many messages with long names as it says it has room for."""
     journal = Journal(tmp_path, 200_000)
     refs: list[str] = []
-    while journal.has_room(weight(ref := f"{len(refs):0200}", "\\" * 900, b"x")):
-        assert journal.taken(Entry(ref, "keyed", 3, "\\" * 900, 1_900_000_000_000, b"x"))
+    while journal.has_room(record_weight(ref := f"{len(refs):0200}", "\\" * 900, b"x")):
+        assert journal.accept(JournalEntry(ref, "keyed", 3, "\\" * 900, 1_900_000_000_000, b"x"))
         refs.append(ref)
     return journal, refs
 
@@ -143,8 +143,8 @@
     monkeypatch.setattr(os, "rename", measured)
     for attempt in range(12):
         for ref in refs:
-            assert journal.trying(ref, "a-zone-with-a-long-name", attempt)
-            journal.outcome(ref, True)
+            assert journal.record_attempt_start(ref, "a-zone-with-a-long-name", attempt)
+            journal.record_outcome(ref, True)
     assert 0 < most[0] <= 200_000 and on_disk(tmp_path) <= 200_000
     journal.close()
     assert {entry.attempts for entry in Journal(tmp_path, 200_000).entries.values()} == {12}
@@ -162,10 +162,10 @@
         return opened(path, *args)
 
     monkeypatch.setattr(os, "open", fails)
-    tries = [journal.trying(ref, "north", n) for n in range(20) for ref in refs]
-    assert not tries[-1] and on_disk(tmp_path) + journal.live <= 200_000
+    tries = [journal.record_attempt_start(ref, "north", n) for n in range(20) for ref in refs]
+    assert not tries[-1] and on_disk(tmp_path) + journal.live_bytes <= 200_000
     monkeypatch.undo()
-    assert journal.trying(refs[0], "north", 1) and on_disk(tmp_path) <= 200_000
+    assert journal.record_attempt_start(refs[0], "north", 1) and on_disk(tmp_path) <= 200_000
 
 
 # ---- whose clock it is
@@ -178,10 +178,10 @@
         journal = Journal(folder, DISK)
         now = monotonic_ms()
         for ref in ("untried", "ran", "refused"):
-            assert journal.taken(Entry(ref, "keyed", 3, "k", now + 5000, b"x"))
+            assert journal.accept(JournalEntry(ref, "keyed", 3, "k", now + 5000, b"x"))
         for ref in ("ran", "refused"):
-            assert journal.trying(ref, "north", now)
-        journal.outcome("refused", False)
+            assert journal.record_attempt_start(ref, "north", now)
+        journal.record_outcome("refused", False)
         journal.close()
 
 
@@ -212,8 +212,8 @@
         }
         now = monotonic_ms()
         assert all(4000 < entry.deadline - now <= 5000 for entry in journal.entries.values())
-        assert journal.trying("untried", "north", now)
-        journal.outcome("untried", False)
+        assert journal.record_attempt_start("untried", "north", now)
+        journal.record_outcome("untried", False)
         journal.close()
 
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -15,7 +15,7 @@
 
 from starlingwick import interface as io
 from starlingwick import wirehost
-from starlingwick.control import CHANGED_TO
+from starlingwick.control import HEALTH_LOG_WORDS
 from tests.helpers import MS, SAFE, TURNS, UNSAFE, Relay, S, entry
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -214,5 +214,5 @@
     module = (ROOT / "starlingwick" / "control.py").read_text()
     intro = page.split("\n\n")[1]
     words = re.findall(r"`([a-z ]+)`", intro)
-    written = [*re.findall(r'self\.log\(f"([a-z ]+) dest=', module), *CHANGED_TO.values()]
+    written = [*re.findall(r'self\.log\(f"([a-z ]+) dest=', module), *HEALTH_LOG_WORDS.values()]
     assert words and sorted(words) == sorted(written)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -11,7 +11,7 @@
 
 from garnetrelay.config import Address
 from garnetrelay.health import Health
-from garnetrelay.management import AdminServer, routes
+from garnetrelay.management import AdminServer, build_routes
 from garnetrelay.metrics import Metrics
 from tests.processes import Process, free_port
 from tests.sockets import PATIENCE, Field, http
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def port(health: Health) -> Iterator[int]:
-    door = AdminServer(routes(health, Metrics(["filing"]), lambda: None, lambda: None), SOCKETS)
+    door = AdminServer(build_routes(health, Metrics(["filing"]), lambda: None, lambda: None), SOCKETS)
     yield door.start(Address("127.0.0.1", 0))[1]
     door.close()
 
@@ -55,7 +55,7 @@
 async def test_answers_come_while_the_relays_own_loop_is_in_a_long_turn(field: Field) -> None:
     await field.start()
     relay = field.relays[0]
-    door = AdminServer(routes(relay.health, relay.metrics, relay.drain, relay.undrain), SOCKETS)
+    door = AdminServer(build_routes(relay.health, relay.metrics, relay.drain, relay.resume), SOCKETS)
     try:
         port = door.start(Address("127.0.0.1", 0))[1]
         call = HTTPConnection("127.0.0.1", port, timeout=PATIENCE)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -4,7 +4,7 @@
 
 import re
 
-from garnetrelay.metrics import End, Metrics
+from garnetrelay.metrics import MessageEnd, Metrics
 from starlingwick import interface as io
 from tests.helpers import S, Relay, entry
 from tests.sockets import Field, endpoint, listing, until
@@ -52,7 +52,7 @@
 
 def test_a_class_name_cannot_break_its_line() -> None:
     metrics = Metrics(['odd"\\\n'])
-    metrics.ended(End.ERRORED, 'odd"\\\n')
+    metrics.record_end(MessageEnd.ERRORED, 'odd"\\\n')
     assert 'relay_errored_total{group="odd\\"\\\\\\n"} 1\n' in metrics.render()
 
 
@@ -90,7 +90,7 @@
     (await field.host.next_call()).answer(410)  # over without us: it ended nowhere
     await until(lambda: not relay.held)
     assert changed(relay.metrics, before) == {"errored_total/unsafe": 1, "sends_total": 2}
-    relay.on_news(relay.reader.read({"index": 42, "snapshot": True, "endpoints": []}))
+    relay.on_list_update(relay.reader.read({"index": 42, "snapshot": True, "endpoints": []}))
     assert await client.enqueue("late", d=200) == b"OK"
     assert (await field.platform.next_notice())["result"] == "bounced"
     assert changed(relay.metrics, before) == {
@@ -136,10 +136,10 @@
 
 def test_endpoints_of_a_destination_in_an_outage_are_avoided() -> None:
     relay = Relay(entry("a"), entry("b"), entry("c", dest=2))
-    assert relay.pacer.cluster(relay.now) == (3, 0)
+    assert relay.pacer.endpoint_counts(relay.now) == (3, 0)
     relay.turn(relay.message())
     relay.try_all(io.Status.CONNECT_FAILED, 3)
-    assert relay.pacer.cluster(relay.now + S) == (3, 2)
+    assert relay.pacer.endpoint_counts(relay.now + S) == (3, 2)
 
 
 # Guards against an outage that nobody on call can see in the figures.
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -47,9 +47,9 @@
 
 
 async def test_notices_go_one_to_a_line_and_only_a_refusal_tells_a_wait(desk: Desk) -> None:
-    desk.notices.tell("a", "dead", 300)
-    desk.notices.tell("b", "bounced", 500)
-    desk.notices.tell("c", "bounced", 0)
+    desk.notices.queue_notice("a", "dead", 300)
+    desk.notices.queue_notice("b", "bounced", 500)
+    desk.notices.queue_notice("c", "bounced", 0)
     call, lines = await desk.next_post()
     assert lines == [
         {"ref": "a", "result": "dead"},
@@ -65,7 +65,7 @@
 async def test_next_notice_uses_the_same_connection(desk: Desk) -> None:
     seen = set()
     for ref in ("a", "b"):
-        desk.notices.tell(ref, "dead", 0)
+        desk.notices.queue_notice(ref, "dead", 0)
         call, _ = await desk.next_post()
         seen.add(call.connection)
         take(call)
@@ -85,7 +85,7 @@
     ids=["503", "400", "200", "unreadable", "broken off"],
 )
 async def test_only_204_acknowledges_a_notice(desk: Desk, answer: bytes | None) -> None:
-    desk.notices.tell("a", "dead", 0)
+    desk.notices.queue_notice("a", "dead", 0)
     call, first = await desk.next_post()
     if answer is None:
         call.break_off()
@@ -101,19 +101,19 @@
 async def test_silent_platform_is_asked_again_on_a_new_connection(
     desk: Desk, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(notices, "ANSWER_TIME", 0.1)
-    desk.notices.tell("a", "dead", 0)
+    monkeypatch.setattr(notices, "RESPONSE_TIMEOUT", 0.1)
+    desk.notices.queue_notice("a", "dead", 0)
     silent, _ = await desk.next_post()
     again, lines = await desk.next_post()
     assert again.connection != silent.connection and lines == [{"ref": "a", "result": "dead"}]
 
 
 async def test_connection_that_the_platform_closed_in_between_is_opened_anew(desk: Desk) -> None:
-    desk.notices.tell("a", "dead", 0)
+    desk.notices.queue_notice("a", "dead", 0)
     first, _ = await desk.next_post()
     first.raw(b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
     await until(lambda: not desk.notices.queue)
-    desk.notices.tell("b", "dead", 0)
+    desk.notices.queue_notice("b", "dead", 0)
     second, lines = await desk.next_post()
     assert second.connection != first.connection and [line["ref"] for line in lines] == ["b"]
 
@@ -121,7 +121,7 @@
 async def test_bodies_stay_within_64_kib(desk: Desk) -> None:
     refs = [f"{n:0200}" for n in range(400)]
     for ref in refs:
-        desk.notices.tell(ref, "dead", 0)
+        desk.notices.queue_notice(ref, "dead", 0)
     got: list[object] = []
     while len(got) < len(refs):
         call, lines = await desk.next_post()
@@ -132,16 +132,16 @@
 
 
 async def test_what_is_queued_during_a_post_goes_with_the_next(desk: Desk) -> None:
-    desk.notices.tell("a", "dead", 0)
+    desk.notices.queue_notice("a", "dead", 0)
     call, _ = await desk.next_post()
-    desk.notices.tell("b", "dead", 0)
+    desk.notices.queue_notice("b", "dead", 0)
     take(call)
     _, lines = await desk.next_post()
     assert [line["ref"] for line in lines] == ["b"] and desk.told == ["a"]
 
 
 async def test_close_ends_the_connection(desk: Desk) -> None:
-    desk.notices.tell("a", "dead", 0)
+    desk.notices.queue_notice("a", "dead", 0)
     call, _ = await desk.next_post()
     desk.notices.close()
     async with asyncio.timeout(20):
@@ -150,14 +150,14 @@
 
 async def test_silent_connection_delays_no_notice_beyond_its_bound(desk: Desk) -> None:
     """A notice is late 300 ms after its time; the one before it meets a connection that says nothing."""
-    assert notices.ANSWER_TIME <= 0.15
-    desk.notices.tell("a", "dead", 0)
+    assert notices.RESPONSE_TIMEOUT <= 0.15
+    desk.notices.queue_notice("a", "dead", 0)
     call, _ = await desk.next_post()
     take(call)
     await until(lambda: not desk.notices.queue)
-    desk.notices.tell("b", "dead", 0)
+    desk.notices.queue_notice("b", "dead", 0)
     silent, _ = await desk.next_post()
-    desk.notices.tell("c", "dead", 0)
+    desk.notices.queue_notice("c", "dead", 0)
     again, lines = await desk.next_post()
     assert again.connection != silent.connection and [line["ref"] for line in lines] == ["b", "c"]
     assert desk.notices.failures == 1  # and no pause before it
@@ -175,14 +175,14 @@
         return await post(*args)
 
     monkeypatch.setattr(desk.notices, "_post", fails_once)
-    desk.notices.tell("a", "dead", 0)
+    desk.notices.queue_notice("a", "dead", 0)
     call, _ = await desk.next_post()
     take(call)
     await until(lambda: desk.told == ["a"])
 
 
 async def test_slow_platform_is_given_more_time_each_time(desk: Desk) -> None:
-    desk.notices.tell("a", "dead", 0)
+    desk.notices.queue_notice("a", "dead", 0)
     for _ in range(3):
         await desk.next_post()
     call, _ = await desk.next_post()
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -41,20 +41,20 @@
 from garnetrelay.clock import boot_id
 from garnetrelay.config import Address, load
 from garnetrelay.connection_pool import call_request, parse_report, probe_request
-from garnetrelay.discovery import Reader
+from garnetrelay.discovery import EntryParser
 from garnetrelay.endpoint_cache import EndpointCache
 from garnetrelay.handover import Handover
 from garnetrelay.health import Health
 from garnetrelay.health_store import HealthStore
-from garnetrelay.journal import Entry, Journal
-from garnetrelay.management import routes
+from garnetrelay.journal import JournalEntry, Journal
+from garnetrelay.management import build_routes
 from garnetrelay.metrics import Metrics
 from garnetrelay.notices import Notices
 from garnetrelay.ownership import Ownership
 from starlingwick import interface as io
 from starlingwick import wirehost
 from starlingwick.control import Pacer
-from starlingwick.health_record import record_of
+from starlingwick.health_record import to_record
 from starlingwick.settings import parse_settings
 from tests.helpers import MS, Relay, S, entry
 from tests.sockets import Field, endpoint, until
@@ -113,11 +113,11 @@
 # Guards against records that another version of the program cannot read.
 def test_journal_writes_its_records_under_their_names(tmp_path: Path) -> None:
     journal = Journal(tmp_path, 3_000_000)
-    assert journal.taken(Entry("m1", "filing", 7, "k1", 5_000_000, b"body"))
-    assert journal.trying("m1", "north", 4_000_000)
-    journal.outcome("m1", True)
-    assert journal.ended("m1", "bounced", 9)
-    journal.told("m1")
+    assert journal.accept(JournalEntry("m1", "filing", 7, "k1", 5_000_000, b"body"))
+    assert journal.record_attempt_start("m1", "north", 4_000_000)
+    journal.record_outcome("m1", True)
+    assert journal.record_finish("m1", "bounced", 9)
+    journal.record_notified("m1")
     journal.close()
     (clock, _), (taken, body), *rest = journal_records(tmp_path / "journal")
     assert list(clock) == ["t", "ref", "boot", "offset", "at"]
@@ -156,9 +156,9 @@
     )
     journal = Journal(tmp_path, 3_000_000)
     for number in range(REWRITTEN_FROM // 65_000 + 2):
-        assert journal.taken(Entry(f"x{number}", "filing", 7, None, 5_000_000, b"x" * 65_000))
-        journal.ended(f"x{number}", None)
-    assert journal.taken(Entry("last", "filing", 7, None, 5_000_000, b""))
+        assert journal.accept(JournalEntry(f"x{number}", "filing", 7, None, 5_000_000, b"x" * 65_000))
+        journal.record_finish(f"x{number}", None)
+    assert journal.accept(JournalEntry("last", "filing", 7, None, 5_000_000, b""))
     journal.close()
     assert (tmp_path / "journal").stat().st_size < REWRITTEN_FROM
     records = journal_records(tmp_path / "journal")
@@ -176,15 +176,15 @@
 def test_files_of_the_folder_keep_their_names(tmp_path: Path) -> None:
     first, second = Ownership(tmp_path, 3_000_000, True), Ownership(tmp_path, 3_000_000, True)
     handover = Handover(tmp_path, 1000)
-    assert handover.take()
-    handover.tell({"told": "a", "wait": 1})
+    assert handover.acquire()
+    handover.append_line({"told": "a", "wait": 1})
     assert sorted(path.name for path in tmp_path.iterdir()) == [
         "handover.new",
         "journal",
         "journal.1",
         "sender",
     ]
-    handover.pass_on({"learned": {}, "out": 0})
+    handover.release({"learned": {}, "out": 0})
     assert (tmp_path / "handover").read_text() == '{"told":"a","wait":1}\n{"learned":{},"out":0}\n'
     handover.close()
     first.close()
@@ -234,12 +234,12 @@
 # Guards against an upgrade after which a told wait, a rate limit or slow start is forgotten.
 def test_handed_over_state_keeps_its_names_in_both_directions() -> None:
     relay = Relay(entry("a", rate=3.0))
-    fresh = relay.pacer.learned()
+    fresh = relay.pacer.handover_state()
     assert list(fresh) == ["started", "dests", "hosts"]
     assert list(fresh["dests"]["a"]) == list(LEARNED_OF_DESTINATION)
     assert len(fresh["hosts"]["a"]) == len(LEARNED_OF_HOST)
     relay.turn(io.PredecessorState(json.loads(json.dumps(LEARNED))))
-    assert json.dumps(relay.pacer.learned()) == json.dumps(LEARNED)
+    assert json.dumps(relay.pacer.handover_state()) == json.dumps(LEARNED)
 
 
 # Guards against a host's or destination's fact that goes over under another's name.
@@ -249,7 +249,7 @@
     relay.turn(relay.message(), after=S)
     (send,) = relay.sends()
     relay.turn(relay.verdict(send.message_id, io.Status.FULL, wait=2 * S), after=100 * MS)
-    known = relay.pacer.learned()
+    known = relay.pacer.handover_state()
     facts, host = known["dests"]["a"], known["hosts"]["a"]
     assert facts["wait_until"] >= relay.now + 2 * S
     assert facts["sent"][-1] == relay.now - 100 * MS and facts["refusals"] == [relay.now]
@@ -271,7 +271,7 @@
     assert await client.enqueue("m1") == b"OK"
     call = await field.host.next_call()
     successor = Ownership(field.state, 3_000_000, True)  # holds a journal: another process that waits
-    relay.stop()
+    relay.shutdown()
     (first,) = lines_of(field.state / "handover")
     assert list(first) == ["learned", "out"] and first["out"] == 1
     assert list(first["learned"]) == ["started", "dests", "hosts"]
@@ -320,17 +320,17 @@
     )
     facts = LEARNED_OF_DESTINATION | dict(zip(names, HEALTH_RECORD[2:], strict=True))
     relay.turn(io.PredecessorState({"started": 1, "dests": {"a": facts}, "hosts": {}}))
-    record = record_of(relay.pacer.routes[7][0])
+    record = to_record(relay.pacer.routes[7][0])
     assert list(astuple(record)) == HEALTH_RECORD
     store = HealthStore(tmp_path, 4096)
-    store.keep([record])
+    store.store([record])
     store.close()
     expected = checked([1, boot_id()]) + checked(HEALTH_RECORD)
     assert (tmp_path / "health").read_bytes() == expected
     assert [list(astuple(found)) for found in HealthStore(tmp_path, 4096).load(1000)] == [HEALTH_RECORD]
     restored = Relay(entry("a", dest=7))
     restored.turn(io.HealthRestored((record,)))
-    kept = restored.pacer.learned()["dests"]["a"]
+    kept = restored.pacer.handover_state()["dests"]["a"]
     assert [kept[name] for name in names] == HEALTH_RECORD[2:]
 
 
@@ -340,12 +340,12 @@
 # Guards against a kept list that another version misreads.
 async def test_kept_list_keeps_its_form(tmp_path: Path) -> None:
     catalog = Catalog()
-    reader = Reader(load(environment_of(tmp_path)), catalog.stage)
+    reader = EntryParser(load(environment_of(tmp_path)), catalog.stage)
     news = reader.read_known(load(environment_of(tmp_path)))
     assert news is not None
     catalog.commit(news.staged, news.index, True)
     kept = EndpointCache(tmp_path, 100_000, ["north", "south"], ["plain", "bulk"])
-    kept.keep(catalog, set(), True)
+    kept.store(catalog, set(), True)
     await until((tmp_path / "list").exists)
     kept.close()
     assert {"list", "list.lock"} <= {path.name for path in tmp_path.iterdir()}
@@ -647,7 +647,7 @@
     field: Field, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    monkeypatch.setattr(garnetrelay.relay, "REPORT_EVERY", 0.3)
+    monkeypatch.setattr(garnetrelay.relay, "REPORT_INTERVAL", 0.3)
     field.facts["familyInfo"]["callsOut"] = 1
     client = await field.start()
     assert await client.enqueue("m1") == b"OK"
@@ -715,7 +715,7 @@
 def test_operators_calls_keep_their_paths_and_answers() -> None:
     health = Health()
     health.ready = True
-    table = routes(health, Metrics(["filing"]), drain=lambda: None, undrain=lambda: None)
+    table = build_routes(health, Metrics(["filing"]), drain=lambda: None, undrain=lambda: None)
     assert {path: list(methods) for path, methods in table.items()} == {
         "/healthcheck": ["GET"],
         "/stats": ["GET"],
@@ -737,8 +737,8 @@
 # Guards against notices and calls that the platform or a destination cannot read.
 def test_notices_and_calls_keep_their_words() -> None:
     notices = Notices(Address("127.0.0.1", 1), lambda ref: None)
-    notices.tell("m1", "bounced", 9)
-    notices.tell("m2", "dead", 0)
+    notices.queue_notice("m1", "bounced", 9)
+    notices.queue_notice("m2", "dead", 0)
     assert list(notices.queue.values()) == [
         b'{"ref":"m1","result":"bounced","wait_ms":9}\n',
         b'{"ref":"m2","result":"dead"}\n',
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -10,14 +10,14 @@
 
 from garnetrelay import journal
 from garnetrelay import ownership as ownership_module
-from garnetrelay.journal import Entry, Journal
+from garnetrelay.journal import JournalEntry, Journal
 from garnetrelay.ownership import Ownership
 
 DISK = 1_000_000
 
 
-def entry(ref: str, size: int = 100) -> Entry:
-    return Entry(ref, "keyed", 3, "k", 1_900_000_000_000, bytes(size))
+def entry(ref: str, size: int = 100) -> JournalEntry:
+    return JournalEntry(ref, "keyed", 3, "k", 1_900_000_000_000, bytes(size))
 
 
 def opened(folder: Path) -> Ownership:
@@ -30,15 +30,15 @@
 
 def test_journal_has_one_holder_and_is_free_with_its_end(tmp_path: Path) -> None:
     first = opened(tmp_path)
-    assert first.taken(entry("a"))
+    assert first.accept(entry("a"))
     second = opened(tmp_path)
-    assert refs(second) == set() and second.elsewhere("a") and not second.elsewhere("b")
-    assert second.taken(entry("b"))
-    first.take_up()
-    assert first.elsewhere("b") and refs(first) == {"a"}
+    assert refs(second) == set() and second.is_held_elsewhere("a") and not second.is_held_elsewhere("b")
+    assert second.accept(entry("b"))
+    first.acquire_free_journals()
+    assert first.is_held_elsewhere("b") and refs(first) == {"a"}
     first.close()
-    assert [one.ref for one in second.take_up()] == ["a"]
-    assert refs(second) == {"a", "b"} and not second.foreign
+    assert [one.ref for one in second.acquire_free_journals()] == ["a"]
+    assert refs(second) == {"a", "b"} and not second.held_by_others
     second.close()
     assert refs(opened(tmp_path)) == {"a", "b"}
 
@@ -46,19 +46,19 @@
 def test_handed_over_message_has_one_owner_and_all_that_was_known_of_it(tmp_path: Path) -> None:
     first, second = opened(tmp_path), opened(tmp_path)
     for ref in ("out", "waits"):
-        assert first.taken(entry(ref))
-        assert first.trying(ref, "north", 1000)
-    first.outcome("waits", True)
+        assert first.accept(entry(ref))
+        assert first.record_attempt_start(ref, "north", 1000)
+    first.record_outcome("waits", True)
     assert first.hand_over(["waits"]) == ["waits"]
     assert refs(first) == {"out"}
-    [taken] = second.take_up()
+    [taken] = second.acquire_free_journals()
     assert (taken.ref, taken.attempts, taken.ran_at, taken.ran_zone) == ("waits", 1, 1000, "north")
-    assert second.trying("waits", "south", 2000)
-    second.ended("waits", None)
+    assert second.record_attempt_start("waits", "south", 2000)
+    second.record_finish("waits", None)
     assert sorted(path.name for path in tmp_path.iterdir()) == ["journal", "journal.1"]
-    first.ended("out", "dead")
+    first.record_finish("out", "dead")
     first.close()
-    [left] = second.take_up()
+    [left] = second.acquire_free_journals()
     assert (left.ref, left.ended) == ("out", "dead")
 
 
@@ -68,20 +68,20 @@
     or one after the other."""
     second = opened(tmp_path)
     first = opened(tmp_path)
-    assert first.taken(entry("a"))
+    assert first.accept(entry("a"))
     assert first.own is not None
     before = first.own.path
     struck = tmp_path / "kept"
     shutil.copy(before, struck)
     assert first.hand_over(["a"]) == ["a"]
     if not both:
-        assert [one.ref for one in second.take_up()] == ["a"]
-        second.ended("a", None)  # delivered, and its journal removed, before the other is free
+        assert [one.ref for one in second.acquire_free_journals()] == ["a"]
+        second.record_finish("a", None)  # delivered, and its journal removed, before the other is free
     before.write_bytes(struck.read_bytes())
     struck.unlink()
     first.close()
-    assert [one.ref for one in second.take_up()] == (["a"] if both else [])
-    second.ended("a", None)
+    assert [one.ref for one in second.acquire_free_journals()] == (["a"] if both else [])
+    second.record_finish("a", None)
     second.close()
     assert refs(opened(tmp_path)) == set()
 
@@ -92,7 +92,7 @@
 ) -> None:
     for name in ("journal", "journal.1"):
         journal = Journal(tmp_path, DISK, name)
-        assert journal.taken(entry("a"))
+        assert journal.accept(entry("a"))
         journal.close()
     failing = iter(
         [True] * 4
@@ -107,7 +107,7 @@
         patch.setattr(ownership_module, "Journal", open_late)
         late = opened(tmp_path)
     assert late.own is not None and refs(late) == {"a"}
-    late.ended("a", None)
+    late.record_finish("a", None)
     late.close()
     assert refs(opened(tmp_path)) == set()
 
@@ -115,9 +115,9 @@
 def test_rewritten_journal_stays_its_holders(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK)
     while journal.size < 300_000:
-        assert journal.taken(entry("a", 60_000))
-    journal.ended("a", None)
-    assert journal.taken(entry("b")) and journal.size < 100_000  # it was written anew
+        assert journal.accept(entry("a", 60_000))
+    journal.record_finish("a", None)
+    assert journal.accept(entry("b")) and journal.size < 100_000  # it was written anew
     with pytest.raises(BlockingIOError):
         Journal(tmp_path, DISK)
     journal.close()
@@ -129,20 +129,20 @@
     n = 0
     for ownership in (first, second):
         while ownership.has_room(2000):
-            assert ownership.taken(entry(f"m{n}", 2000))
+            assert ownership.accept(entry(f"m{n}", 2000))
             n += 1
     assert n > 100
     most = 0
     for ref in list(first.entries):
         first.hand_over([ref])
-        taken = second.take_up()
+        taken = second.acquire_free_journals()
         assert [one.ref for one in taken] == [ref] and not second.has_room(2000)
-        second.trying(ref, "north", 1)
+        second.record_attempt_start(ref, "north", 1)
         most = max(most, sum(path.stat().st_size for path in tmp_path.iterdir()))
     first.close()
-    second.take_up()
+    second.acquire_free_journals()
     for ref in list(second.entries):
-        second.ended(ref, None)
+        second.record_finish(ref, None)
         most = max(most, sum(path.stat().st_size for path in tmp_path.iterdir()))
     assert most < DISK
 
@@ -152,18 +152,18 @@
     before = Ownership(tmp_path, DISK, shared=False)
     assert before.own is not None
     n = 0
-    while before.own.live < 0.3 * DISK:
-        assert before.taken(entry(f"m{n}", 2000))
+    while before.own.live_bytes < 0.3 * DISK:
+        assert before.accept(entry(f"m{n}", 2000))
         n += 1
     while before.own.size < 0.65 * DISK:
-        assert before.trying("m0", "north", 1)
+        assert before.record_attempt_start("m0", "north", 1)
     after = Ownership(tmp_path, DISK, shared=False)
     while after.has_room(2000):
-        assert after.taken(entry(f"m{n}", 2000))
+        assert after.accept(entry(f"m{n}", 2000))
         n += 1
     assert sum(path.stat().st_size for path in tmp_path.iterdir()) < DISK
     before.close()
-    assert after.take_up() and not after.has_room(2000)
+    assert after.acquire_free_journals() and not after.has_room(2000)
 
 
 def test_journal_that_cannot_be_opened_just_now_is_taken_up_later(
@@ -171,7 +171,7 @@
 ) -> None:
     """No descriptor is left, say: an error would end the task that looks, for good."""
     before, after = opened(tmp_path), opened(tmp_path)
-    assert before.taken(entry("a"))
+    assert before.accept(entry("a"))
     before.close()
     really_open = journal._open_locked
 
@@ -179,6 +179,6 @@
         raise OSError(errno.EMFILE, "Too many open files")
 
     monkeypatch.setattr(journal, "_open_locked", fails)
-    assert after.take_up() == [] and not after.foreign  # nor is it another process's
+    assert after.acquire_free_journals() == [] and not after.held_by_others  # nor is it another process's
     monkeypatch.setattr(journal, "_open_locked", really_open)
-    assert [one.ref for one in after.take_up()] == ["a"]
+    assert [one.ref for one in after.acquire_free_journals()] == ["a"]
