--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -59,14 +59,14 @@
     """Every held message was put to the gate in every turn: with hundreds, answers came late."""
     relay = Relay(entry("a"), max_calls=40, limits={"max_held": 1000})
     relay.turn(*[relay.message() for _ in range(400)])
-    gate, looks = relay.pacer.gate, 0
+    gate, looks = relay.pacer.earliest_send_time, 0
 
     def counted(dest: Destination, host: Endpoint, m: Message | None) -> int:
         nonlocal looks
         looks += 1
         return gate(dest, host, m)
 
-    monkeypatch.setattr(relay.pacer, "gate", counted)
+    monkeypatch.setattr(relay.pacer, "earliest_send_time", counted)
     relay.turn(relay.verdict("m1", io.Status.OK), after=50 * MS)
     assert len(relay.sends()) == 1 and looks <= 10
 
@@ -76,16 +76,16 @@
     relay.serve(10)
     dest = relay.pacer.routes[1][0]
     dest.rate_limit, dest.mean_response_time = 10.0, 100.0 * MS
-    assert relay.pacer.most_calls(dest) == 2
+    assert relay.pacer.max_calls_in_flight(dest) == 2
     dest.mean_response_time = 1.0 * MS
-    assert relay.pacer.most_calls(dest) == 1
+    assert relay.pacer.max_calls_in_flight(dest) == 1
 
 
 def test_suspect_destination_holds_half_the_slots() -> None:
     relay = Relay(entry("a"))
     dest = relay.pacer.routes[1][0]
     dest.failure_rate = 0.3
-    assert relay.pacer.most_calls(dest) == 4
+    assert relay.pacer.max_calls_in_flight(dest) == 4
 
 
 def test_replaced_hosts_and_done_keys_are_forgotten() -> None:
@@ -98,8 +98,13 @@
         relay.turn(io.EndpointUpdate(io.UpdateScope.DELTA, (new, gone)))
     relay.turn(after=30 * S)
     pacer = relay.pacer
-    assert len(pacer.hosts) == len(pacer.routes[1]) == 1
-    assert len(pacer.turn_rest) <= 2 and not pacer.turns and not pacer.messages and not pacer.waiting
+    assert len(pacer.endpoints) == len(pacer.routes[1]) == 1
+    assert (
+        len(pacer.turn_rest) <= 2
+        and not pacer.ordered_queues
+        and not pacer.messages
+        and not pacer.waiting_messages
+    )
 
 
 def test_host_that_returns_under_its_old_id_is_used_again() -> None:
@@ -132,9 +137,9 @@
     relay.turn(relay.message(), relay.message())
     relay.turn(relay.verdict("m1", io.Status.FULL, report=io.LoadReport(0.0, 6.0)), after=50 * MS)
     assert dest.backoff > 0
-    relay.pacer.pause(dest, False, None)
+    relay.pacer.update_backoff(dest, False, None)
     assert dest.backoff > 0
-    relay.pacer.pause(dest, False, 1.5)  # out of range, legal
+    relay.pacer.update_backoff(dest, False, 1.5)  # out of range, legal
     assert dest.backoff == 0
 
 
@@ -331,7 +336,7 @@
     relay.turn(*[relay.message() for _ in range(10)])
     calls = relay.sends()
     relay.turn(*[relay.verdict(send.message_id, io.Status.FULL) for send in calls[:3]], after=100 * MS)
-    assert dest.rate_limit is not None and relay.pacer.most_calls(dest) > 3
+    assert dest.rate_limit is not None and relay.pacer.max_calls_in_flight(dest) > 3
     relay.turn(*[relay.message() for _ in range(10)])
     # The rest, sent before, is answered well: nothing but the ceiling holds back the next.
     relay.turn(
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -11,7 +11,7 @@
 import pytest
 
 from garnetrelay.clock import monotonic_ms
-from garnetrelay.journal import Entry, Journal
+from garnetrelay.journal import JournalEntry, Journal
 from tests.processes import ROOT, Process
 from tests.sockets import PATIENCE, Client, Field, Platform
 
@@ -36,11 +36,13 @@
 
 async def test_what_ended_while_it_was_down_is_told_at_its_start(field: Field, process: Process) -> None:
     journal = Journal(field.state, 3_000_000)
-    late = Entry("late", "unsafe", 3, None, 1000, b"x")
-    late_ran = Entry("late-ran", "keyed", 3, "k", 1000, b"x", attempts=1, trying_at=900, trying_zone="north")
-    for entry in (late, late_ran, Entry("untold", "safe", 3, None, 1000, b"x")):
-        journal.taken(entry)
-    journal.ended("untold", "bounced", 700)
+    late = JournalEntry("late", "unsafe", 3, None, 1000, b"x")
+    late_ran = JournalEntry(
+        "late-ran", "keyed", 3, "k", 1000, b"x", attempts=1, trying_at=900, trying_zone="north"
+    )
+    for entry in (late, late_ran, JournalEntry("untold", "safe", 3, None, 1000, b"x")):
+        journal.accept(entry)
+    journal.record_finish("untold", "bounced", 700)
     journal.close()
     await process.start()
     notices = [await field.platform.next_notice() for _ in range(3)]
@@ -57,7 +59,7 @@
     now = monotonic_ms()
     journal = Journal(field.state, 3_000_000)
     for ref, zone, ago in (("here", "north", 100), ("elsewhere", "south", 100), ("stale", "north", 7000)):
-        journal.taken(Entry(ref, "keyed", 3, "k", now + 8000, b"x", 1, now - ago, zone))
+        journal.accept(JournalEntry(ref, "keyed", 3, "k", now + 8000, b"x", 1, now - ago, zone))
     journal.close()
     await process.start()
     call = await field.host.next_call()
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -35,7 +35,7 @@
     relay.turn(*[relay.message() for _ in range(6)])
     ended(relay, io.Status.OK, after=100 * MS)
     dest = relay.pacer.routes[1][0]
-    assert relay.sends() == [] and relay.pacer.slow_start.is_on(dest, relay.now)
+    assert relay.sends() == [] and relay.pacer.slow_start.is_active(dest, relay.now)
 
 
 def test_failure_among_good_answers_is_no_outage() -> None:
@@ -46,7 +46,7 @@
     for _ in range(20):
         relay.turn(relay.message(), after=50 * MS)
         ended(relay, io.Status.OK, after=50 * MS)
-    assert not relay.pacer.slow_start.is_on(relay.pacer.routes[1][0], relay.now)
+    assert not relay.pacer.slow_start.is_active(relay.pacer.routes[1][0], relay.now)
 
 
 def test_ramp_lasts_as_long_as_the_partner_may_be_cold() -> None:
@@ -65,9 +65,8 @@
         sent += [relay.now] * len(relay.sends())
         ended(relay, io.Status.OK, after=10 * MS)
         sent += [relay.now] * len(relay.sends())
-    most = (
-        rules.overload_multiple * 8.0 / relay.settings.relays * rules.overload_window / S
-    )  # calls in a span, warm
+    # calls in a span, warm
+    most = rules.overload_multiple * 8.0 / relay.settings.relays * rules.overload_window / S
     assert max(sum(first <= at < first + rules.overload_window for at in sent) for first in sent) <= most + 1
 
 
@@ -85,7 +84,7 @@
 
 
 def test_refusal_that_no_limit_explains_may_be_a_shut_partner() -> None:
-    assert (relay := refused_then_answered(0, None)).pacer.slow_start.is_on(
+    assert (relay := refused_then_answered(0, None)).pacer.slow_start.is_active(
         relay.pacer.routes[1][0], relay.now
     )
 
@@ -93,7 +92,7 @@
 @pytest.mark.parametrize(("wait", "report"), [(500 * MS, None), (0, io.LoadReport(0.0, 5.0))])
 def test_refusal_that_a_limit_explains_is_no_outage(wait: int, report: io.LoadReport | None) -> None:
     relay = refused_then_answered(wait, report)
-    assert not relay.pacer.slow_start.is_on(relay.pacer.routes[1][0], relay.now)
+    assert not relay.pacer.slow_start.is_active(relay.pacer.routes[1][0], relay.now)
 
 
 def test_call_that_found_the_partner_back_is_one_of_the_ramp() -> None:
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -11,7 +11,7 @@
 import pytest
 
 from garnetrelay.clock import monotonic_ms
-from garnetrelay.journal import Entry, Journal, weight
+from garnetrelay.journal import JournalEntry, Journal, record_weight
 from tests.processes import Process
 from tests.sockets import Field
 
@@ -35,9 +35,9 @@
         deadline = monotonic_ms() + LIVES_ON
         while len(self.refs) < most:
             ref = f"{len(self.refs):016x}"
-            if not self.journal.has_room(weight(ref, ref, body)):
+            if not self.journal.has_room(record_weight(ref, ref, body)):
                 break
-            assert self.journal.taken(Entry(ref, "safe", 3, ref, deadline, body))
+            assert self.journal.accept(JournalEntry(ref, "safe", 3, ref, deadline, body))
             self.refs.append(ref)
 
     def record(self) -> int:
@@ -58,8 +58,8 @@
 
     def _call(self, number: int) -> None:
         ref = self.refs[number % len(self.refs)]
-        assert self.journal.trying(ref, "north", number)
-        self.journal.outcome(ref, False)
+        assert self.journal.record_attempt_start(ref, "north", number)
+        self.journal.record_outcome(ref, False)
 
 
 def many_small(full: Full) -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -166,8 +166,8 @@
 async def test_peer_without_a_whole_request_is_closed_in_time(
     field: Field, monkeypatch: pytest.MonkeyPatch, begun: bytes
 ) -> None:
-    assert clients.REQUEST_TIME < 3
-    monkeypatch.setattr(clients, "REQUEST_TIME", 0.05)
+    assert clients.REQUEST_TIMEOUT < 3
+    monkeypatch.setattr(clients, "REQUEST_TIMEOUT", 0.05)
     client = await field.start()
     client.writer.write(begun)
     answers = []
@@ -176,13 +176,13 @@
     assert [a for a in answers if a != b"PONG"] == (["ERR no whole request in time"] if begun else [])
     server = field.relays[0].server
     await until(lambda: not server.connections)
-    assert server.silent == (not begun)
+    assert server.closed_unused_count == (not begun)
 
 
 async def test_client_whose_requests_have_come_stays_connected(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "REQUEST_TIME", 0.05)
+    monkeypatch.setattr(clients, "REQUEST_TIMEOUT", 0.05)
     client = await field.start()
     assert await client.ask("PING") == b"PONG"
     silent = await Client.connect(client.writer.get_extra_info("peername")[1])
@@ -192,7 +192,7 @@
 
 async def test_quiet_peers_make_way_for_a_client(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     """They hold a third of the descriptors between them: nobody else could hand in a message."""
-    monkeypatch.setattr(clients, "IDLE_TIME", 0.0)
+    monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.0)
     field.limits["sockets"] = 30
     client = await field.start()
     port = client.writer.get_extra_info("peername")[1]
@@ -232,7 +232,7 @@
         (200, [], connection_pool.Outcome(io.Status.OK, finished=True)),
         (500, [], connection_pool.Outcome(io.Status.ERROR)),
         (302, [], connection_pool.Outcome(io.Status.ERROR)),
-        (429, [(b"X-Backoff-Ms", b"250")], connection_pool.Outcome(io.Status.FULL, wait=250_000_000)),
+        (429, [(b"X-Backoff-Ms", b"250")], connection_pool.Outcome(io.Status.FULL, retry_after=250_000_000)),
         (429, [(b"X-Backoff-Ms", b"soon")], connection_pool.Outcome(io.Status.ERROR)),
         (429, [], connection_pool.Outcome(io.Status.ERROR)),
         (503, [], connection_pool.Outcome(io.Status.FULL)),
@@ -404,7 +404,7 @@
     field.facts["limits"]["connIdle"] = 1_000_000_000
     client = await field.start()
     await field.warm(client)
-    net = field.relays[0].hosts
+    net = field.relays[0].connection_pool
     assert any(net.idle.values()) and net.idle_time == 0.8
     await until(lambda: not net.open)
     async with asyncio.timeout(20):
@@ -422,7 +422,7 @@
     async with asyncio.timeout(20):  # a second, and half a minute if it were one relay's
         for _ in range(2):
             await field.host.closed.get()
-    assert not field.relays[0].hosts.open
+    assert not field.relays[0].connection_pool.open
 
 
 async def test_connection_that_the_host_has_closed_is_not_used_again(field: Field) -> None:
@@ -433,7 +433,7 @@
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
     call.answer(200)
-    net = field.relays[0].hosts
+    net = field.relays[0].connection_pool
     await until(lambda: not field.relays[0].held)
     await until(lambda: any(net.idle.values()))
     idle = net.idle["s-1"][0]
@@ -451,8 +451,8 @@
     field: Field, monkeypatch: pytest.MonkeyPatch, answered: bool
 ) -> None:
     """The host had closed it while it stood idle, and its end is on its way: that is no sign of an outage."""
-    assert connection_pool.STALE_TIME <= 0.1
-    monkeypatch.setattr(connection_pool, "STALE_TIME", 60.0)  # however slow the machine is
+    assert connection_pool.STALE_CONNECTION_WINDOW <= 0.1
+    monkeypatch.setattr(connection_pool, "STALE_CONNECTION_WINDOW", 60.0)  # however slow the machine is
     client = await field.start()
     if answered:
         await field.warm(client)
@@ -460,7 +460,7 @@
     (await field.host.next_call()).break_off()
     (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].held)
-    dest, host = field.relays[0].pacer.hosts["s-1"]
+    dest, host = field.relays[0].pacer.endpoints["s-1"]
     assert (dest.last_bad_outcome_at == 0) is answered and (host.failure_rate == 0.0) is answered
 
 
@@ -471,14 +471,14 @@
     """Nothing of the call was sent, and a host that is down refuses."""
     client = await field.start()
     relay = field.relays[0]
-    really_open, failures = relay.hosts._open, [error()]
+    really_open, failures = relay.connection_pool._open, [error()]
 
     async def fails_once(host: str, address: Address) -> connection_pool.Connection:
         if failures:
             raise failures.pop()
         return await really_open(host, address)
 
-    monkeypatch.setattr(relay.hosts, "_open", fails_once)
+    monkeypatch.setattr(relay.connection_pool, "_open", fails_once)
     await client.enqueue("m1")
     call = await field.host.next_call()
     assert relay.held["m1"].attempts == attempts
@@ -494,7 +494,7 @@
         await client.enqueue(ref, "unsafe", d=400 if ref == "m2" else 8000)
     first, second = await field.host.next_call(), await field.host.next_call()
     first.answer(200)
-    net = field.relays[0].hosts
+    net = field.relays[0].connection_pool
     await until(lambda: any(net.idle.values()))
     assert await field.platform.next_notice() == {"ref": second.headers["x-request-id"], "result": "dead"}
     assert not net.open
@@ -518,19 +518,19 @@
     """Connecting may take a second; a drain or a wait learned meanwhile holds for the call, and nothing of
     it goes out."""
     client = await field.start()
-    net, pacer = field.relays[0].hosts, field.relays[0].pacer
-    begin = net.begin
+    net, pacer = field.relays[0].connection_pool, field.relays[0].pacer
+    begin = net.start
 
-    def drained_meanwhile(exchange: connection_pool.Attempt) -> None:
+    def drained_meanwhile(exchange: connection_pool.Exchange) -> None:
         begin(exchange)
-        pacer.hosts[exchange.host][1].available = False
+        pacer.endpoints[exchange.endpoint][1].available = False
 
-    net.begin = drained_meanwhile  # type: ignore[method-assign]
+    net.start = drained_meanwhile  # type: ignore[method-assign]
     await client.enqueue("m1", "unsafe")
     await until(lambda: pacer.messages["m1"].attempts == 1 and pacer.messages["m1"].call is None)
     assert field.relays[0].journal.entries["m1"].attempts == 0 and field.host.calls.empty()
-    net.begin = begin  # type: ignore[method-assign]
-    pacer.hosts["s-1"][1].available = True
+    net.start = begin  # type: ignore[method-assign]
+    pacer.endpoints["s-1"][1].available = True
     field.relays[0]._post(io.TimerExpired(0))
     (await field.host.next_call()).answer(200)
 
@@ -570,8 +570,8 @@
 
 async def test_silent_watch_is_given_up(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     """A machine that vanished says nothing; lines come every 2 s while all is well."""
-    assert 2 < discovery.SILENCE and discovery.SILENCE + discovery.ANSWER_TIME < 6
-    monkeypatch.setattr(discovery, "SILENCE", 0.1)
+    assert 2 < discovery.SILENCE_TIMEOUT and discovery.SILENCE_TIMEOUT + discovery.RESPONSE_TIMEOUT < 6
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT", 0.1)
     await field.start()
     await field.platform.next_watch()
     await field.platform.next_watch()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -9,7 +9,7 @@
 import pytest
 
 from garnetrelay.clock import monotonic_ms
-from garnetrelay.journal import Entry, Journal
+from garnetrelay.journal import JournalEntry, Journal
 from starlingwick import interface as io
 from tests.helpers import MS, SAFE, UNSAFE, Relay, S, entry
 from tests.sockets import Call, Field, endpoint, listing, until
@@ -24,7 +24,7 @@
     deadline = monotonic_ms() + d
     refs = {f"old{n}" for n in range(number)}
     for ref in sorted(refs):
-        assert journal.taken(Entry(ref, klass, 3, "key-" + ref, deadline, b"x"))
+        assert journal.accept(JournalEntry(ref, klass, 3, "key-" + ref, deadline, b"x"))
     journal.close()
     return refs
 
@@ -99,8 +99,8 @@
     before = Journal(field.state, 3_000_000)
     deadline = monotonic_ms() + 8000
     for ref, klass in (("safe", "safe"), ("tried", "unsafe")):
-        assert before.taken(Entry(ref, klass, 3, None, deadline, b"x"))
-    assert before.trying("tried", "north", monotonic_ms())
+        assert before.accept(JournalEntry(ref, klass, 3, None, deadline, b"x"))
+    assert before.record_attempt_start("tried", "north", monotonic_ms())
     client = await field.start()
     assert await client.enqueue("new") == b"OK"
     call = await field.host.next_call()
@@ -112,7 +112,7 @@
     call.answer(200)
     assert await field.platform.next_notice() == {"ref": "tried", "result": "dead"}
     relay = field.relays[0]
-    await until(lambda: not relay.held and not relay.journal.entries and not relay.journal.foreign)
+    await until(lambda: not relay.held and not relay.journal.entries and not relay.journal.held_by_others)
     await until(lambda: relay.overseer is not None and relay.overseer.done())
 
 
@@ -180,9 +180,8 @@
 
 def test_message_that_no_next_life_could_send_goes_before_the_end() -> None:
     relay = Relay(entry("a"))
-    relay.turn(
-        io.ShutdownStarted(relay.now + 3 * S, relay.now + 5 * S)
-    )  # no call has been measured: the aim is 2 s
+    # no call has been measured: the aim is 2 s
+    relay.turn(io.ShutdownStarted(relay.now + 3 * S, relay.now + 5 * S))
     relay.turn(relay.message(UNSAFE, patience=4 * S), relay.message(UNSAFE, patience=20 * S), after=2 * S)
     assert [send.message_id for send in relay.sends()] == ["m1"]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -202,7 +202,7 @@
     relay = Relay(entry("a"))
     relay.turn(replace(relay.message(), storable=False))
     assert [a.message_id for a in relay.of(io.Reject)] == ["m1"] and relay.sends() == []
-    assert relay.pacer.messages == {} and relay.pacer.held == 0
+    assert relay.pacer.messages == {} and relay.pacer.held_count == 0
 
 
 def test_nothing_goes_out_that_the_end_of_the_process_might_cut_off() -> None:
@@ -219,14 +219,14 @@
     relay = Relay(entry("a"), entry("b"))
     relay.turn(relay.message())
     host = relay.sends()[0].endpoint
-    assert relay.pacer.clear_to_send(relay.now, "m1", host)
-    assert relay.pacer.clear_to_send(relay.now, None, host)
-    assert not relay.pacer.clear_to_send(relay.now + 20 * S, "m1", host)
+    assert relay.pacer.may_send(relay.now, "m1", host)
+    assert relay.pacer.may_send(relay.now, None, host)
+    assert not relay.pacer.may_send(relay.now + 20 * S, "m1", host)
     relay.turn(io.EndpointUpdate(io.UpdateScope.DELTA, (entry(host, state=io.Availability.STOPPING),)))
-    assert not relay.pacer.clear_to_send(relay.now, "m1", host)
-    assert not relay.pacer.clear_to_send(relay.now, None, host)
+    assert not relay.pacer.may_send(relay.now, "m1", host)
+    assert not relay.pacer.may_send(relay.now, None, host)
     relay.turn(io.EndpointUpdate(io.UpdateScope.DELTA, (entry(host, state=io.Availability.DELETED),)))
-    assert not relay.pacer.clear_to_send(relay.now, "m1", host)
+    assert not relay.pacer.may_send(relay.now, "m1", host)
 
 
 def test_last_look_heeds_a_wait_told_to_another_call() -> None:
@@ -236,8 +236,8 @@
     assert len(relay.sends()) == 2
     first, second = (s.message_id for s in relay.sends())
     relay.turn(relay.verdict(first, io.Status.FULL, wait=S))
-    assert not relay.pacer.clear_to_send(relay.now, second, "a")
-    assert relay.pacer.clear_to_send(relay.now + S, second, "a")
+    assert not relay.pacer.may_send(relay.now, second, "a")
+    assert relay.pacer.may_send(relay.now + S, second, "a")
 
 
 def test_abandoned_attempt_never_ran_and_is_made_up_for() -> None:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -145,13 +145,13 @@
 ) -> None:
     """A kill may come right behind it."""
     seen: list[bytes] = []
-    ok = clients.Reply.ok
+    ok = clients.Reply.accept
 
     def looks_first(reply: clients.Reply) -> None:
         seen.append((field.state / "journal").read_bytes())
         ok(reply)
 
-    monkeypatch.setattr(clients.Reply, "ok", looks_first)
+    monkeypatch.setattr(clients.Reply, "accept", looks_first)
     client = await field.start()
     assert await client.enqueue("m1") == b"OK"
     assert len(seen) == 1 and b'"t":"taken","ref":"m1"' in seen[0]
@@ -185,7 +185,7 @@
     await until(lambda: one_relay.pacer.messages["m1"].attempts == 1)
     await until(lambda: one_relay.outcomes["connect_failed"] == 1)
     assert asyncio.get_running_loop().time() - began >= 0.19
-    assert one_relay.journal.entries["m1"].attempts == 0 and not one_relay.hosts.open
+    assert one_relay.journal.entries["m1"].attempts == 0 and not one_relay.connection_pool.open
     watch.line(listing(42, endpoint(field.host, "s-2"), snapshot=True))
     call = await field.host.next_call()
     assert call.headers["x-request-id"] == "m1"
@@ -234,7 +234,7 @@
         sent += len(more)
         await asyncio.sleep(0.001)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
-    assert not field.relays[0].hosts.open and field.host.calls.empty()
+    assert not field.relays[0].connection_pool.open and field.host.calls.empty()
 
 
 async def test_delivered_answer_without_end_gives_its_connection_back(field: Field) -> None:
@@ -247,7 +247,7 @@
         while field.host.closed.empty():
             call.raw(b"1\r\nx\r\n")
             await asyncio.sleep(0.01)
-    assert not field.relays[0].hosts.open and field.platform.notices.empty()
+    assert not field.relays[0].connection_pool.open and field.platform.notices.empty()
 
 
 @pytest.mark.parametrize("status", [200, 500, 503])
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -12,7 +12,7 @@
 
 from garnetrelay.clients import Server
 from garnetrelay.config import Address
-from garnetrelay.connection_pool import Attempt, ConnectionPool, Outcome, call_request
+from garnetrelay.connection_pool import Exchange, ConnectionPool, Outcome, call_request
 from garnetrelay.streams import READ_SIZE
 from starlingwick import interface as io
 from tests.helpers import settings
@@ -55,7 +55,7 @@
 
 
 async def test_client_that_is_read_costs_what_it_sent(peer: Peer, traced: None) -> None:
-    server = Server(lambda request, reply: reply.ok(), 4)
+    server = Server(lambda request, reply: reply.accept(), 4)
     await asyncio.get_running_loop().sock_connect(peer.sock, await server.start("127.0.0.1", 0))
     await peer.say(packed("PING"))
     assert await peer.hear() == b"+PONG\r\n"
@@ -71,10 +71,10 @@
     peer.sock.bind(("127.0.0.1", 0))
     peer.sock.listen()
     hosts = ConnectionPool(settings(), 4)
-    hosts.place("s-1", Address(*peer.sock.getsockname()), draining=False, started=0)
+    hosts.update_endpoint("s-1", Address(*peer.sock.getsockname()), draining=False, started=0)
     stop_at = time.monotonic_ns() + 60_000_000_000
     ended: asyncio.Future[Outcome] = loop.create_future()
-    hosts.begin(Attempt("s-1", stop_at, lambda: call_request("m", None, b"x", stop_at), ended.set_result))
+    hosts.start(Exchange("s-1", stop_at, lambda: call_request("m", None, b"x", stop_at), ended.set_result))
     with (await loop.sock_accept(peer.sock))[0] as accepted:
         host = Peer(accepted)
         assert (await host.hear()).startswith(b"POST /hook ")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -122,7 +122,7 @@
     for _ in range(3):
         (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].held)
-    assert "outage" not in log_of(caplog) and not pacer.slow_start.is_on(dest, pacer.now)
+    assert "outage" not in log_of(caplog) and not pacer.slow_start.is_active(dest, pacer.now)
     assert log_of(caplog).count(os.strerror(number)) == 1
 
 
@@ -153,7 +153,7 @@
     with monkeypatch.context() as patch:
         patch.setattr("select.poll", FailingPoll)
         assert await client.enqueue("m1") == b"OK"
-        field.relays[0].server.send_away()
+        field.relays[0].server.start_draining()
         assert await client.ask("PING") == "ERR drained"
     call = await field.host.next_call()
     call.answer(200)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from garnetrelay.discovery import News
+from garnetrelay.discovery import ListUpdate
 from tests.clock import play
 from tests.sockets import Call, Client, Field, HttpServer, Platform, Watch, endpoint, listing
 
@@ -156,14 +156,14 @@
     def count_refused(self) -> None:
         """Where nobody listens, the relay alone knows of its calls."""
         watch = self.field.relays[0].discovery
-        on_news = watch.on_news
+        on_news = watch.on_update
 
-        def counted(news: News | None) -> None:
+        def counted(news: ListUpdate | None) -> None:
             on_news(news)
             if news is None:
                 self.agent.in_vain()
 
-        watch.on_news = counted
+        watch.on_update = counted
 
     async def stop(self) -> None:
         await self.field.stop()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -163,7 +163,7 @@
     assert ceiling is not None
     new = Relay(entry("a"), entry("b", dest=2), seed=8)
     new.now = old.now
-    new.turn(io.PredecessorState(json.loads(json.dumps(old.pacer.learned()))))
+    new.turn(io.PredecessorState(json.loads(json.dumps(old.pacer.handover_state()))))
     assert new.pacer.routes[1][0].rate_limit == ceiling
     new.turn(new.message(dest=2))
     assert not new.sends()
@@ -190,9 +190,9 @@
     old = Relay(entry("a"))
     old.turn(old.message())
     [send] = old.sends()
-    assert old.pacer.clear_to_send(old.now, send.message_id, "a")
+    assert old.pacer.may_send(old.now, send.message_id, "a")
     old.turn(io.ShutdownStarted(old.now, old.now), old.message())
-    assert not old.sends() and not old.pacer.clear_to_send(old.now, send.message_id, "a")
+    assert not old.sends() and not old.pacer.may_send(old.now, send.message_id, "a")
 
 
 def test_what_another_version_learned_is_taken_as_far_as_it_is_known() -> None:
@@ -201,7 +201,7 @@
     old, new = Relay(entry("a")), Relay(entry("a"))
     old.turn(old.message())
     old.turn(old.verdict("m1", io.Status.FULL, wait=5 * S))
-    facts = json.loads(json.dumps(old.pacer.learned()))
+    facts = json.loads(json.dumps(old.pacer.handover_state()))
     facts["dests"]["a"] |= {"weather": 3, "hosts": ["b"], "calls": [1]}
     del facts["dests"]["a"]["mean"]
     facts["hosts"]["a"].append("later")
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -63,8 +63,8 @@
 async def test_watch_that_is_not_taken_up_is_opened_anew_in_time(
     field: Field, monkeypatch: pytest.MonkeyPatch, mode: str
 ) -> None:
-    assert discovery.ANSWER_TIME + discovery.SILENCE + relay.WATCH_AGAIN < 6
-    monkeypatch.setattr(discovery, "ANSWER_TIME", 0.1)
+    assert discovery.RESPONSE_TIMEOUT + discovery.SILENCE_TIMEOUT + relay.WATCH_AGAIN < 6
+    monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT", 0.1)
     field.facts["discovery"] = mode
     await field.start()
     silent = await field.platform.next_call()
@@ -77,9 +77,9 @@
     field.facts["discovery"] = "automatic"
     await field.start()
     watch = field.relays[0].discovery
-    assert discovery.MOST_ANSWER_TIME >= 2 * discovery.ANSWER_TIME
-    monkeypatch.setattr(discovery, "ANSWER_TIME", 0.05)
-    watch.move(watch.address)
+    assert discovery.MAX_RESPONSE_TIMEOUT >= 2 * discovery.RESPONSE_TIMEOUT
+    monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT", 0.05)
+    watch.change_address(watch.address)
     await field.platform.next_call()
     calls = [await field.platform.next_call() for _ in range(4)]
     assert len({call.connection for call in calls}) == 4 and watch.failures >= 4
@@ -96,10 +96,10 @@
     watch = await field.platform.next_watch()
     watch.call.break_off()
     await until(lambda: one.discovery.task is None)
-    one.pacer.ask_at = one.pacer.now + 3600 * 10**9
+    one.pacer.subscribe_at = one.pacer.now + 3600 * 10**9
     moved = Platform()
     await moved.start()
-    one.move(type(one.config.discovery).parse(moved.address))
+    one.change_discovery_address(type(one.config.discovery).parse(moved.address))
     began = time.monotonic()
     await moved.next_watch()
     assert time.monotonic() - began < 4
@@ -117,7 +117,7 @@
     old.call.break_off()
     assert task is not None
     await asyncio.wait([task])  # over, and nobody has heard of it yet
-    one.move(type(one.config.discovery).parse(moved.address))
+    one.change_discovery_address(type(one.config.discovery).parse(moved.address))
     watch = await moved.next_watch()
     watch.line(listing(44, endpoint(field.host)))
     await until(lambda: one.discovery.index == 44)
@@ -189,7 +189,7 @@
     watch.line(listing(42, {**endpoint(field.host), "address": other.address}))
     await until(lambda: one.discovery.index == 42)
     call.answer(200)
-    await until(lambda: not one.held and not one.hosts.open)
+    await until(lambda: not one.held and not one.connection_pool.open)
     await client.enqueue("m2", "unsafe")
     call = await other.next_call()
     assert call.headers["x-request-id"] == "m2"
@@ -209,16 +209,16 @@
         assert await client.enqueue(f"m{n}") == b"OK"
         (await field.host.next_call()).answer(200)
         await until(lambda: not one.held)
-    assert set(one.hosts.idle) == {"s-1", "s-2"}
+    assert set(one.connection_pool.idle) == {"s-1", "s-2"}
     watch.line(listing(42, endpoint(field.host, status="Terminating")))
     await until(lambda: one.discovery.index == 42)
-    assert set(one.hosts.idle) == {"s-2"}
+    assert set(one.connection_pool.idle) == {"s-2"}
     for n in range(3):
         await client.enqueue(f"n{n}")
         call = await field.host.next_call()
         call.answer(200)
         await until(lambda: not one.held)
-    assert {connection.host for connection in one.hosts.open} == {"s-2"}
+    assert {connection.endpoint for connection in one.connection_pool.open} == {"s-2"}
 
 
 @pytest.mark.parametrize("weight", [1e-310, 0, -1, 1e308, float("nan")])
@@ -239,7 +239,7 @@
     client = await field.start()
     watch = await field.platform.next_watch()
     await field.warm(client)
-    net = field.relays[0].hosts
+    net = field.relays[0].connection_pool
     await until(lambda: any(net.idle.values()))
     watch.line(listing(42, {**endpoint(field.host), "since_ms": 1_764_000_000_000}))
     await until(lambda: not net.open)
