--- a/garnetrelay/__init__.py
+++ b/garnetrelay/__init__.py
@@ -1,1 +1,5 @@
-"""A relay that delivers messages to partner systems over real sockets; starlingwick decides."""
+"""A relay that delivers messages from clients to endpoints of their destinations by HTTP calls.
+
+This package contains the network, storage and process code. The package ``starlingwick`` decides what is sent
+where and when.
+"""
--- a/garnetrelay/__main__.py
+++ b/garnetrelay/__main__.py
@@ -1,4 +1,8 @@
-"""Start, signals and exit of one relay."""
+"""Command line entry point of the relay: ``python -m garnetrelay``.
+
+Loads the configuration, installs the signal handlers and runs one relay. SIGTERM and SIGINT start a graceful
+shutdown, SIGHUP reads the address of discovery again.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +19,11 @@
 
 log = logging.getLogger("garnetrelay")
 
-SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 async def serve(config: Config) -> None:
-    """Run until a signal has ended the relay."""
+    """Run the relay and the management interface until a signal has shut the relay down."""
     relay = Relay(config)
     loop = asyncio.get_running_loop()
     admin = AdminServer(
@@ -31,13 +35,13 @@
         ),
         config.sockets,
     )
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, relay.shutdown)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, relay.shutdown)
     loop.add_signal_handler(signal.SIGHUP, reload, relay)
     try:
         if config.management_address is not None:
             log.info("operators' door on %s port %d", *admin.start(config.management_address))
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
         await relay.start()
         await relay.finished.wait()
         await relay.finish_connections()
@@ -47,16 +51,20 @@
 
 
 def reload(relay: Relay) -> None:
-    """Take over what of the configuration may change in service; one that can't be read changes nothing."""
+    """Apply a changed address of discovery. A configuration that cannot be read changes nothing."""
     try:
         relay.change_discovery_address(load_discovery(os.environ))
     except ConfigError as error:
-        log.error("the configuration stays as it was: %s", error)
+        log.error("reload failed, the configuration stays as it was: %s", error)
 
 
 def main() -> int:
-    """The exit status."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until there is somebody to hear them
+    """Run the relay and return the exit status.
+
+    The status is 2 if the configuration is invalid, 1 if the relay cannot start, and 0 otherwise.
+    """
+    # Signals stay pending until serve() has installed their handlers.
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     level = os.environ.get("RELAY_LOG_LEVEL", "INFO").upper()
     logging.basicConfig(
         level=level if level in logging.getLevelNamesMapping() else "INFO",
@@ -65,9 +73,12 @@
     )
     try:
         config = load(os.environ)
-        # A length in a client's command may ask for any amount of memory: refuse the absurd at once.
-        most = config.memory_bytes + (512 << 20)
-        resource.setrlimit(resource.RLIMIT_AS, (most, resource.getrlimit(resource.RLIMIT_AS)[1]))
+        # A client's command can announce an argument of any length. The limit on the address space makes the
+        # allocation for an absurd length fail at once.
+        address_space_bytes = config.memory_bytes + (512 << 20)
+        resource.setrlimit(
+            resource.RLIMIT_AS, (address_space_bytes, resource.getrlimit(resource.RLIMIT_AS)[1])
+        )
         asyncio.run(serve(config))
     except ConfigError as error:
         print(f"garnetrelay: {error}", file=sys.stderr)
@@ -79,7 +90,7 @@
 
 
 if __name__ == "__main__":
-    # What this process leaves to close, the kernel closes: its end must not wait for it.
+    # Skip the interpreter's cleanup: the kernel closes what is still open, and the exit must not wait for it.
     status = main()
     logging.shutdown()
     os._exit(status)
--- a/garnetrelay/clock.py
+++ b/garnetrelay/clock.py
@@ -1,7 +1,8 @@
-"""Which clock times are kept by: the machine's monotonic one, which no step of the wall clock moves.
+"""The clocks that stored times refer to.
 
-It goes on across processes, and starts anew with the machine: the boot's id says whether two times belong
-together.
+Times are those of the machine's monotonic clock, which steps of the wall clock do not affect. It continues
+across processes and restarts when the machine boots, so two times are comparable only if they were taken
+under the same boot id.
 """
 
 from __future__ import annotations
@@ -14,18 +15,20 @@
 
 
 def monotonic_ms() -> int:
-    """Milliseconds of the monotonic clock."""
+    """Return the time of the monotonic clock in milliseconds."""
     return time.monotonic_ns() // NS_PER_MS
 
 
 def wall_offset_ms() -> int:
-    """By how many milliseconds the wall clock is ahead of the monotonic one just now, rounded up: a time of
-    the wall clock is read as no later than it was."""
+    """Return how many milliseconds the wall clock is ahead of the monotonic clock, rounded up.
+
+    Rounding up ensures that a wall-clock time is never converted to a later monotonic time than the true one.
+    """
     return -((time.monotonic_ns() - time.time_ns()) // NS_PER_MS)
 
 
 def boot_id() -> str:
-    """The id of this boot of the machine; empty where the kernel does not say."""
+    """Return the id of the machine's current boot, or an empty text if the kernel does not provide one."""
     try:
         return BOOT_ID.read_text().strip()
     except OSError:
--- a/garnetrelay/config.py
+++ b/garnetrelay/config.py
@@ -1,4 +1,8 @@
-"""RELAY_CONFIG as typed settings. Whatever is wrong with it is said in one line, before anything starts."""
+"""Loading of a relay's configuration: the JSON file that RELAY_CONFIG names, and environment variables.
+
+The whole configuration is checked before the relay starts. An error is reported as a ConfigError with a
+message of one line.
+"""
 
 from __future__ import annotations
 
@@ -16,22 +20,24 @@
 
 T = TypeVar("T")
 
-LIST_SHARE = 32  # of the disk, so much of it is for the list where the configuration does not say
+# The endpoint list gets 1/32 of the disk if the file sets neither ``list.keep`` nor ``list.disk_mb``.
+LIST_DISK_DIVISOR = 32
 
 
 class ConfigError(ValueError):
-    """A configuration that the relay cannot start with."""
+    """The configuration is missing, unreadable or invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where something listens."""
+    """A network address, written ``host:port``, or ``[host]:port`` for IPv6."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: Any) -> Address:
+        """Parse ``host:port``. Raises ValueError if the text has another form or the port is above 65535."""
         host, colon, port = str(text).rpartition(":")
         if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
             raise ValueError(f"'{text}' is not host:port")
@@ -43,113 +49,137 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a relay is told at its start."""
+    """The configuration of a relay process, fixed at its start."""
 
     name: str
     listen: Address
     discovery: Address
-    management_address: Address | None  # the operators' door, where there is one
-    state: Path
+    management_address: Address | None  # of the management interface; None: it is off
+    state: Path  # directory for data that outlives the process
     seed: int
-    inherited_fd: int | None  # the platform's listening socket for clients
-    sockets: int
-    disk_bytes: int
+    inherited_fd: int | None  # listening socket for clients, opened by the platform
+    sockets: int  # limit shared by the connections of clients, endpoints and operators
+    disk_bytes: int  # for all files in ``state`` except the stored endpoint list
     memory_bytes: int
     class_names: tuple[str, ...]
     zone_names: tuple[str, ...]
     kind_names: tuple[str, ...]
-    load_reports: bool
-    path: str  # of the file: the known list is read from there
-    list_bytes: int  # of the disk, for a list kept there; 0: none is
+    load_reports: bool  # whether probes ask the endpoints for load reports
+    path: str  # of the configuration file, which may contain the endpoint list under ``known``
+    list_bytes: int  # disk space for the stored endpoint list; 0: the list is not stored
     settings: io.Settings
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration that the environment points to; ConfigError with one plain line if it is unusable."""
+    """Return the configuration that the environment names.
+
+    Values in the environment override those in the file. Raises ConfigError if a value is missing or invalid.
+    """
     if "RELAY_STATE" not in environment:
         raise ConfigError("RELAY_STATE is not set")
-    return _read(environment, lambda raw: _config(raw, environment, Path(environment["RELAY_STATE"])))
+    return _read_file(
+        environment, lambda raw: _build_config(raw, environment, Path(environment["RELAY_STATE"]))
+    )
 
 
-def load_known(config: Config, take: Callable[[dict[str, Any]], None]) -> Any:
-    """The list that the file has, its entries handed over one by one and left out: as objects, all of a
-    fleet's take some hundreds of megabytes. None without a list; ValueError where it can't be read any
-    more."""
+def load_known(config: Config, handle_entry: Callable[[dict[str, Any]], None]) -> Any:
+    """Read the endpoint list under ``known`` in the configuration file.
+
+    Passes each entry to ``handle_entry`` and returns the rest of the list, with None in place of each entry:
+    decoded all at once, the entries of a large fleet would take hundreds of megabytes. Returns None if the
+    file has no list. Raises ValueError if the file can no longer be read.
+    """
     try:
-        return _parsed(config.path, take).get("known")
+        return _parse_file(config.path, handle_entry).get("known")
     except OSError as error:
         raise ValueError(f"{config.path}: {error.strerror}") from None
 
 
 def load_discovery(environment: Mapping[str, str]) -> Address:
-    """Where discovery is by now: the file alone says, as it may be replaced while the environment stays."""
-    return _read(environment, lambda raw: Address.parse(raw["discovery"]))
+    """Read the address of discovery again from the configuration file.
+
+    Ignores RELAY_DISCOVERY: the file can be replaced while the relay runs, its environment cannot. Raises
+    ConfigError if the address cannot be read.
+    """
+    return _read_file(environment, lambda raw: Address.parse(raw["discovery"]))
+
 
+def _read_file(environment: Mapping[str, str], convert: Callable[[dict[str, Any]], T]) -> T:
+    """Decode the configuration file and return the result of ``convert``.
 
-def _read(environment: Mapping[str, str], take: Callable[[dict[str, Any]], T]) -> T:
+    Every error, of the file or of its values, is raised as ConfigError with the file's path.
+    """
     if "RELAY_CONFIG" not in environment:
         raise ConfigError("RELAY_CONFIG is not set")
     path = environment["RELAY_CONFIG"]
     try:
-        raw = _parsed(path, lambda entry: None)
+        raw = _parse_file(path, lambda entry: None)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except ValueError as error:
         raise ConfigError(f"{path}: not JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError(f"{path}: not an object")
+        raise ConfigError(f"{path}: the configuration is a {type(raw).__name__}, not an object")
     try:
-        return take(raw)
+        return convert(raw)
     except KeyError as error:
         raise ConfigError(f"{path}: {error} is missing") from None
     except (TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _parsed(path: str, take: Callable[[dict[str, Any]], None]) -> Any:
-    """The file's content. What becomes of the entries of the known list, ``take`` says; here None is left."""
+def _parse_file(path: str, handle_entry: Callable[[dict[str, Any]], None]) -> Any:
+    """Decode the file. Entries of the endpoint list go to ``handle_entry`` and are None in the result."""
 
-    def seen(value: dict[str, Any]) -> Any:
-        return take(value) if _is_entry(value) else value
+    def convert_object(value: dict[str, Any]) -> Any:
+        return handle_entry(value) if _is_list_entry(value) else value
 
-    return json.loads(Path(path).read_text("utf-8"), object_hook=seen)
+    return json.loads(Path(path).read_text("utf-8"), object_hook=convert_object)
 
 
-def _is_entry(value: dict[str, Any]) -> bool:
+def _is_list_entry(value: dict[str, Any]) -> bool:
     return "address" in value and "group" in value
 
 
-def _config(raw: dict[str, Any], environment: Mapping[str, str], state: Path) -> Config:
-    limits, facts = raw.get("limits", {}), raw["settings"]
-    settings = parse_settings(facts)
-    # The protocol carries one message in a call, whatever the simulator's kinds allow.
+def _build_config(raw: dict[str, Any], environment: Mapping[str, str], state: Path) -> Config:
+    limits, raw_settings = raw.get("limits", {}), raw["settings"]
+    settings = parse_settings(raw_settings)
+    # The HTTP protocol carries one message in a call, even if the settings allow larger batches.
     kinds = tuple(dataclasses.replace(kind, max_batch_size=1) for kind in settings.kinds)
-    mgmt = environment.get("RELAY_MGMT") or raw.get("mgmt")
-    inherited = environment.get("RELAY_INHERITED_FD")
+    management = environment.get("RELAY_MGMT") or raw.get("mgmt")
+    inherited_descriptor = environment.get("RELAY_INHERITED_FD")
     disk_bytes = int(float(limits.get("disk_mb", 64)) * 1_000_000)
-    kept = raw.get("list", {})
+    list_options = raw.get("list", {})
     list_bytes = 0
-    if kept.get("keep", True):
-        share = disk_bytes // (2 if "keep" in kept else LIST_SHARE)
-        list_bytes = int(float(kept["disk_mb"]) * 1_000_000) if "disk_mb" in kept else share
+    if list_options.get("keep", True):
+        # A list that is asked for with ``list.keep``, but without a size, gets half of the disk.
+        default_list_bytes = disk_bytes // (2 if "keep" in list_options else LIST_DISK_DIVISOR)
+        list_bytes = (
+            int(float(list_options["disk_mb"]) * 1_000_000)
+            if "disk_mb" in list_options
+            else default_list_bytes
+        )
         if not 0 < list_bytes < disk_bytes:
-            raise ValueError(f"list.disk_mb: {list_bytes} bytes, of {disk_bytes} by limits.disk_mb")
+            raise ValueError(
+                f"list.disk_mb: {list_bytes} bytes, must be above 0 and below {disk_bytes} (limits.disk_mb)"
+            )
     return Config(
         name=str(environment.get("RELAY_NAME") or raw["name"]),
         listen=Address.parse(environment.get("RELAY_LISTEN") or raw["listen"]),
         discovery=Address.parse(environment.get("RELAY_DISCOVERY") or raw["discovery"]),
-        management_address=Address.parse(mgmt) if mgmt else None,
+        management_address=Address.parse(management) if management else None,
         state=state,
-        # Any text will do for a seed; a hash keeps it the same from run to run.
+        # The seed may be any text. A cryptographic hash maps it to the same number in every process, which
+        # the built-in hash() does not.
         seed=int.from_bytes(hashlib.sha256(str(raw.get("seed", "")).encode()).digest()[:8]),
-        inherited_fd=int(inherited) if inherited else None,
+        inherited_fd=int(inherited_descriptor) if inherited_descriptor else None,
         sockets=int(limits.get("sockets", 1024)),
         disk_bytes=disk_bytes - list_bytes,
         memory_bytes=int(float(limits.get("memory_mb", 192)) * 1_000_000),
-        class_names=tuple(str(c["name"]) for c in facts["classes"]),
-        zone_names=tuple(str(zone) for zone in facts.get("azs", ())),
-        kind_names=tuple(str(kind) for kind in facts.get("kinds", ())),
-        load_reports=facts.get("loadReport", {}).get("via", "off") != "off",
+        class_names=tuple(str(message_class["name"]) for message_class in raw_settings["classes"]),
+        zone_names=tuple(str(zone) for zone in raw_settings.get("azs", ())),
+        kind_names=tuple(str(kind) for kind in raw_settings.get("kinds", ())),
+        load_reports=raw_settings.get("loadReport", {}).get("via", "off") != "off",
         path=environment["RELAY_CONFIG"],
         list_bytes=list_bytes,
         settings=dataclasses.replace(settings, kinds=kinds),
--- a/garnetrelay/management.py
+++ b/garnetrelay/management.py
@@ -1,7 +1,8 @@
-"""The operators' door: HTTP/1.1 at an address of its own, one call to a connection.
+"""The management interface: an HTTP/1.1 server for operators, on its own address.
 
-It runs in a thread with a loop of its own, so that no turn of decisions holds up its answers. It keeps no
-state of the relay's: what it is asked, it looks up or hands on.
+A connection carries one request. The server runs in its own thread with its own event loop, so that a long
+planning pass of the relay does not delay its responses. It holds no state of the relay: it reads the shared
+health flags and metrics, and forwards commands.
 """
 
 from __future__ import annotations
@@ -21,67 +22,73 @@
 
 log = logging.getLogger(__name__)
 
-CALL_TIME = 2.0  # seconds for a whole call to come; a good caller needs a trip there
-MOST_CALL = 16 * 1024  # bytes of one call, whatever is in it
-MOST_CALLERS = 32  # and a sixteenth of the descriptors: what clients and hosts leave is less than a fifth
-BACKLOG = 128
-STACK = 512 * 1024  # bytes: the thread's own, as memory is short
-PLAIN = "text/plain; charset=utf-8"
-EXPOSITION = "text/plain; version=0.0.4; charset=utf-8"
+REQUEST_TIMEOUT_S = 2.0  # to receive a whole request; a working client needs one network trip
+MAX_REQUEST_BYTES = 16 * 1024  # all bytes received on a connection, headers and body
+# Upper bound on open connections, also limited to 1/16 of the descriptors: the connections to clients
+# and endpoints leave less than 1/5 of the descriptors.
+MAX_CONNECTIONS = 32
+LISTEN_BACKLOG = 128
+THREAD_STACK_BYTES = 512 * 1024  # below the default, because the relay's memory is limited
+# Content types of the responses.
+PLAIN_TEXT = "text/plain; charset=utf-8"
+METRICS_TEXT = "text/plain; version=0.0.4; charset=utf-8"
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a call is answered with."""
+class AdminResponse:
+    """A response to an operator's request."""
 
     status: int
     text: str
-    kind: str = PLAIN
-    allow: str = ""
+    content_type: str = PLAIN_TEXT
+    allow: str = ""  # value of the Allow header; empty: no such header
 
 
-Routes = Mapping[str, Mapping[str, Callable[[], Answer]]]  # by path, then method
+Routes = Mapping[str, Mapping[str, Callable[[], AdminResponse]]]  # request handlers by path, then method
 
 
 def build_routes(
     health: Health, metrics: Metrics, drain: Callable[[], object], undrain: Callable[[], object]
 ) -> Routes:
-    """All that operators can ask. The drain is said to be on, or over, at once; ``drain`` and ``undrain``
-    make it so, and must not wait for it."""
+    """Return the handlers of all management requests.
 
-    def healthcheck() -> Answer:
-        return Answer(200, "serving\n") if health.serving else Answer(503, f"{health}\n")
+    A request to start or end a drain sets the health flag and gets its response at once. The callbacks
+    ``drain`` and ``undrain`` must only start the actual work and return without waiting for it.
+    """
 
-    def stats() -> Answer:
-        return Answer(200, metrics.render(), EXPOSITION)
+    def healthcheck() -> AdminResponse:
+        return AdminResponse(200, "serving\n") if health.serving else AdminResponse(503, f"{health}\n")
 
-    def fail() -> Answer:
+    def stats() -> AdminResponse:
+        return AdminResponse(200, metrics.render(), METRICS_TEXT)
+
+    def start_drain() -> AdminResponse:
         health.drained = True
         drain()
-        return Answer(200, "draining\n")
+        return AdminResponse(200, "draining\n")
 
-    def ok() -> Answer:
+    def end_drain() -> AdminResponse:
         health.drained = False
         undrain()
-        return Answer(200, "serving again\n")
+        return AdminResponse(200, "serving again\n")
 
     return {
         "/healthcheck": {"GET": healthcheck},
         "/stats": {"GET": stats},
-        "/healthcheck/fail": {"PUT": fail},
-        "/healthcheck/ok": {"PUT": ok},
+        "/healthcheck/fail": {"PUT": start_drain},
+        "/healthcheck/ok": {"PUT": end_drain},
     }
 
 
 class AdminConnection(asyncio.Protocol):
-    """One operator's connection: a call, its answer, a close."""
+    """Protocol of one operator's connection: reads one request, writes the response, then closes."""
 
-    def __init__(self, door: AdminServer) -> None:
-        self.server = door
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_CALL)
+    def __init__(self, admin_server: AdminServer) -> None:
+        self.server = admin_server
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_REQUEST_BYTES)
         self.request: h11.Request | None = None
-        self.received = 0
-        self.answered = False
+        self.received_bytes = 0
+        self.responded = False
         self.transport: asyncio.Transport | None = None
         self.timer: asyncio.TimerHandle | None = None
 
@@ -89,60 +96,66 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.admit(self)
-        self.timer = asyncio.get_running_loop().call_later(CALL_TIME, self._overdue)
+        self.timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self._on_timeout)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.server.callers.pop(self, None)
+        self.server.connections.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
 
     def abort(self) -> None:
-        self.server.callers.pop(self, None)
+        """Close the connection at once, without a response."""
+        self.server.connections.pop(self, None)
         if self.transport is not None:
             self.transport.abort()
 
-    def _overdue(self) -> None:
-        if self.received and not self.answered:
-            self._answer(Answer(408, "no whole call in time\n"))
+    def _on_timeout(self) -> None:
+        """Respond with 408 to a request that is incomplete; drop a connection that has sent nothing."""
+        if self.received_bytes and not self.responded:
+            self._send_response(AdminResponse(408, "no whole call in time\n"))
         else:
             self.abort()
 
     def data_received(self, data: bytes) -> None:
-        self.received += len(data)
-        if self.answered:
-            return  # one call to a connection: what follows it is not read
-        if self.received > MOST_CALL:
-            self._answer(Answer(413, "too long a call\n"))
+        self.received_bytes += len(data)
+        if self.responded:
+            return  # one request per connection: later data is ignored
+        if self.received_bytes > MAX_REQUEST_BYTES:
+            self._send_response(AdminResponse(413, "too long a call\n"))
             return
         try:
             self.http.receive_data(data)
             self._read_events()
         except h11.RemoteProtocolError as error:
-            self._answer(Answer(error.error_status_hint, "not an HTTP call\n"))
+            self._send_response(AdminResponse(error.error_status_hint, "not an HTTP call\n"))
 
     def _read_events(self) -> None:
-        while not self.answered:
+        while not self.responded:
             match self.http.next_event():
                 case h11.Request() as request:
                     self.request = request
                     if self.http.they_are_waiting_for_100_continue:
-                        go_on = h11.InformationalResponse(status_code=100, headers=[])
-                        self._write(self.http.send(go_on) or b"")
+                        continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                        self._write(self.http.send(continue_response) or b"")
                 case h11.EndOfMessage() if self.request is not None:
-                    self._answer(self.server.answer(self.request))
+                    self._send_response(self.server.handle_request(self.request))
                 case h11.Data():
-                    pass  # no call has a use for a body
+                    pass  # no request uses its body
                 case _:
-                    return  # more has to come, or the caller has gone
-
-    def _answer(self, answer: Answer) -> None:
-        """Write the answer, and close."""
-        self.answered = True
-        body = answer.text.encode()
-        headers = [("Content-Type", answer.kind), ("Content-Length", str(len(body))), ("Connection", "close")]
-        if answer.allow:
-            headers.append(("Allow", answer.allow))
-        data = self.http.send(h11.Response(status_code=answer.status, headers=headers)) or b""
+                    return  # the request is incomplete, or the client has disconnected
+
+    def _send_response(self, response: AdminResponse) -> None:
+        """Write the response and close the connection."""
+        self.responded = True
+        body = response.text.encode()
+        headers = [
+            ("Content-Type", response.content_type),
+            ("Content-Length", str(len(body))),
+            ("Connection", "close"),
+        ]
+        if response.allow:
+            headers.append(("Allow", response.allow))
+        data = self.http.send(h11.Response(status_code=response.status, headers=headers)) or b""
         if self.request is None or self.request.method != b"HEAD":
             data += self.http.send(h11.Data(data=body)) or b""
         self._write(data)
@@ -155,26 +168,32 @@
 
 
 class AdminServer:
-    """Listens for operators, in a thread of its own."""
+    """Serves the management interface in its own thread.
+
+    ``sockets`` is the limit on sockets of the whole process; a small part of it is used here.
+    """
 
     def __init__(self, routes: Routes, sockets: int) -> None:
         self.routes = routes
-        self.most = max(2, min(MOST_CALLERS, sockets // 16))
-        self.callers: dict[AdminConnection, None] = {}  # longest here first
+        self.max_connections = max(2, min(MAX_CONNECTIONS, sockets // 16))
+        self.connections: dict[AdminConnection, None] = {}  # in order of arrival
         self.loop = asyncio.new_event_loop()
         self.closing = asyncio.Event()
         self.thread: threading.Thread | None = None
 
     def start(self, address: Address) -> tuple[str, int]:
-        """Listen; the address that came of it. OSError where that can't be had."""
+        """Start the thread and return the host and port that the server listens on.
+
+        Port 0 selects a free port. Raises OSError if the address is not available.
+        """
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
-        listener = socket.create_server((address.host, address.port), family=family, backlog=BACKLOG)
-        name = listener.getsockname()
-        before = threading.stack_size(STACK)
-        self.thread = threading.Thread(target=self._run, args=(listener,), name="door", daemon=True)
+        listener = socket.create_server((address.host, address.port), family=family, backlog=LISTEN_BACKLOG)
+        bound_address = listener.getsockname()
+        previous_stack_size = threading.stack_size(THREAD_STACK_BYTES)
+        self.thread = threading.Thread(target=self._run, args=(listener,), name="admin", daemon=True)
         self.thread.start()
-        threading.stack_size(before)
-        return str(name[0]), int(name[1])
+        threading.stack_size(previous_stack_size)
+        return str(bound_address[0]), int(bound_address[1])
 
     def _run(self, listener: socket.socket) -> None:
         asyncio.set_event_loop(self.loop)
@@ -182,36 +201,42 @@
         self.loop.close()
 
     async def _serve(self, listener: socket.socket) -> None:
-        server = await self.loop.create_server(lambda: AdminConnection(self), sock=listener, backlog=BACKLOG)
+        server = await self.loop.create_server(
+            lambda: AdminConnection(self), sock=listener, backlog=LISTEN_BACKLOG
+        )
         await self.closing.wait()
         server.close()
-        for caller in list(self.callers):
-            caller.abort()
-        await asyncio.sleep(0)  # their sockets close in the loop's next turn
+        for connection in list(self.connections):
+            connection.abort()
+        await asyncio.sleep(0)  # lets the loop close the sockets of the aborted connections
 
     def close(self) -> None:
+        """Stop the server and wait for its thread to end. Does nothing if it is not running."""
         if self.thread is not None:
             self.loop.call_soon_threadsafe(self.closing.set)
             self.thread.join()
             self.thread = None
 
-    def admit(self, caller: AdminConnection) -> None:
-        """A caller who has just come gets a place: a good one is gone within milliseconds, so the one longest
-        here is silent."""
-        if len(self.callers) >= self.most:
-            next(iter(self.callers)).abort()
-        self.callers[caller] = None
+    def admit(self, connection: AdminConnection) -> None:
+        """Register a new connection. At the limit, abort the oldest one first.
+
+        A working client is done within milliseconds, so the oldest connection is one that stays silent.
+        """
+        if len(self.connections) >= self.max_connections:
+            next(iter(self.connections)).abort()
+        self.connections[connection] = None
 
-    def answer(self, request: h11.Request) -> Answer:
+    def handle_request(self, request: h11.Request) -> AdminResponse:
+        """Return the response to a request: 404 for an unknown path, 405 for a method it does not allow."""
         path = request.target.partition(b"?")[0].decode("ascii", "replace")
         methods = self.routes.get(path)
         if methods is None:
-            return Answer(404, "no such path\n")
+            return AdminResponse(404, "no such path\n")
         method = request.method.decode("ascii")
         if method not in methods:
-            return Answer(405, "no such method here\n", allow=", ".join(methods))
+            return AdminResponse(405, "no such method here\n", allow=", ".join(methods))
         try:
             return methods[method]()
-        except Exception:  # an operator is owed an answer, and the log the reason
-            log.exception("operators' call %s %s failed", method, path)
-            return Answer(500, "failed\n")
+        except Exception:  # the operator gets a response in any case; the log has the cause
+            log.exception("management request %s %s failed", method, path)
+            return AdminResponse(500, "failed\n")
--- a/garnetrelay/metrics.py
+++ b/garnetrelay/metrics.py
@@ -1,7 +1,8 @@
-"""The figures that operators fetch, each event counted once by whoever sees it happen.
+"""Counters and gauges of a relay process, and their text format for operators.
 
-The relay's loop writes them and the door's thread reads them: whole numbers and nothing else, so that no
-reader can find one half written.
+The code that performs or observes an event records it, exactly once. The event loop of the relay writes the
+metrics and the thread of the management interface reads them; every value is an integer, which a reader in
+another thread never sees half written.
 """
 
 from __future__ import annotations
@@ -13,13 +14,14 @@
 
 
 class MessageEnd(Enum):
-    """How a message ended, by the name of its count."""
+    """How a message ended. The value is the name of its counter."""
 
     ANSWERED = "answered_total"  # delivered
-    DEFERRED = "deferred_total"  # refused, or handed back
+    DEFERRED = "deferred_total"  # rejected, or returned to the client later
     ERRORED = "errored_total"  # failed
 
 
+# Help texts of all metrics.
 HELP = {
     "answered_total": "Messages delivered.",
     "deferred_total": "Messages refused or handed back.",
@@ -34,6 +36,7 @@
     "journal_failing": "Whether records cannot be written to the lasting folder now.",
 }
 
+# Attributes of ``Metrics`` that are written out as gauges under their own names.
 GAUGES = (
     "current",
     "cluster_size",
@@ -46,10 +49,11 @@
 
 
 class Metrics:
-    """All figures of this process, from 0."""
+    """All metrics of this process. They start at 0."""
 
     def __init__(self, class_names: Iterable[str]) -> None:
-        # Every class has its line from the start: a count that appears later looks like one that was reset.
+        # Every class has its counters from the start: monitoring would take a counter that appears later for
+        # one that was reset.
         self.ends = {end: dict.fromkeys(class_names, 0) for end in MessageEnd}
         self.sends = 0
         self.current = 0
@@ -60,20 +64,22 @@
         self.destinations_recovering = 0
         self.journal_failing = 0
 
-    def record_end(self, end: MessageEnd, klass: str) -> None:
-        self.ends[end][klass] += 1
+    def record_end(self, end: MessageEnd, class_name: str) -> None:
+        """Count the end of a message of this class."""
+        self.ends[end][class_name] += 1
 
     def record_send(self) -> None:
+        """Count a message that was written whole to an endpoint."""
         self.sends += 1
 
     def render(self) -> str:
-        """The text exposition format, version 0.0.4."""
+        """Return all metrics in the Prometheus text exposition format, version 0.0.4."""
         lines = []
         for end, counts in self.ends.items():
             lines += _heading(end.value, "counter")
             lines += [
-                f'{PREFIX}_{end.value}{{group="{_escaped(klass)}"}} {count}'
-                for klass, count in counts.items()
+                f'{PREFIX}_{end.value}{{group="{_escape_label(class_name)}"}} {count}'
+                for class_name, count in counts.items()
             ]
         lines += [*_heading("sends_total", "counter"), f"{PREFIX}_sends_total {self.sends}"]
         for name in GAUGES:
@@ -81,9 +87,10 @@
         return "\n".join(lines) + "\n"
 
 
-def _heading(name: str, kind: str) -> list[str]:
-    return [f"# HELP {PREFIX}_{name} {HELP[name]}", f"# TYPE {PREFIX}_{name} {kind}"]
+def _heading(name: str, metric_type: str) -> list[str]:
+    """Return the HELP and TYPE lines of a metric."""
+    return [f"# HELP {PREFIX}_{name} {HELP[name]}", f"# TYPE {PREFIX}_{name} {metric_type}"]
 
 
-def _escaped(label: str) -> str:
+def _escape_label(label: str) -> str:
     return label.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/starlingwick/__init__.py
+++ b/starlingwick/__init__.py
@@ -1,4 +1,7 @@
-"""Delivery decisions for a relay that hands messages on to destinations it does not control."""
+"""Delivery decisions of a message relay: pacing, retries and health of destinations.
+
+The package does no input or output of its own: :class:`Pacer` receives events and returns actions.
+"""
 
 from starlingwick.control import Pacer
 
