--- a/garnetrelay/handover.py
+++ b/garnetrelay/handover.py
@@ -1,7 +1,7 @@
-"""The right to send, of which there is one for all processes that share a folder, and what goes on with it.
+"""The right to send, held by one of the processes that share a folder, and the hand-over of state.
 
-Who holds the lock of the file ``sender`` sends and serves clients. Who lets go of it leaves a file of JSON
-lines behind: what the Pacer has learned, then the outcome of each call that was still out.
+The process that holds the lock of the file ``sender`` sends and serves clients. When it releases the lock it
+leaves a file of JSON lines: the state of its Pacer, then the outcome of each call that was still in flight.
 """
 
 from __future__ import annotations
@@ -19,113 +19,119 @@
 
 
 class Handover:
-    """One process's side of it. OSError never gets out: what fails is tried again."""
+    """One process's side of the hand-over. Raises no OSError: failed operations are retried."""
 
-    def __init__(self, folder: Path, most_bytes: int) -> None:
-        self.max_bytes = most_bytes
+    def __init__(self, folder: Path, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self.path = folder / "handover"
         self.temporary_path = folder / "handover.new"
         self.lock_path = folder / "sender"
-        self.lock: int | None = None  # until it could be opened
-        self.writing: int | None = None
-        self.unwritten = bytearray()  # what the disk has not taken yet
-        self.written = 0  # bytes, those that the disk has not taken yet included
-        self.releasing = False  # the right to send goes as soon as what we know is written
-        self.reading: int | None = None
-        self.unread = b""
-        self.read_failed = False  # there is more that could not be read yet
+        self.lock_file: int | None = None  # None until it could be opened
+        self.output_file: int | None = None
+        self.output_buffer = bytearray()  # not written to the disk yet
+        self.total_bytes = 0  # of all lines, including those in the output buffer
+        self.releasing = False  # the lock is released once the state is written
+        self.input_file: int | None = None
+        self.input_buffer = b""
+        self.read_failed = False  # more lines may exist that could not be read
         self.failing = False
 
     def acquire(self) -> bool:
-        """Whether the right to send is ours now. It comes with what its last holder leaves to read."""
+        """Try to acquire the right to send. Return whether this process holds it now.
+
+        The hand-over of its last holder can be read from then on.
+        """
         try:
-            if self.lock is None:
-                self.lock = os.open(self.lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            if self.lock_file is None:
+                self.lock_file = os.open(self.lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            fcntl.flock(self.lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             return False
         except OSError as error:
-            self._failed("the right to send cannot be asked for", error)
+            self._report_failure("cannot lock the right to send", error)
             return False
         return True
 
     def read(self) -> list[Any]:
-        """The lines that have come since; none where there is nothing, or no whole line."""
+        """Return the lines written since the last call; an incomplete last line is left for the next call."""
         try:
-            if self.reading is None:
-                self.reading = os.open(self.path, os.O_RDONLY | os.O_CLOEXEC)
-            while piece := os.read(self.reading, 65536):
-                self.unread += piece
+            if self.input_file is None:
+                self.input_file = os.open(self.path, os.O_RDONLY | os.O_CLOEXEC)
+            while chunk := os.read(self.input_file, 65536):
+                self.input_buffer += chunk
         except FileNotFoundError:
             return []
-        except OSError as error:  # what has been read so far is kept
+        except OSError as error:  # the data read so far is kept
             self.read_failed = True
-            self._failed("cannot read", error)
+            self._report_failure("cannot read", error)
             return []
         self.read_failed = False
-        *lines, self.unread = self.unread.split(b"\n")
-        return [value for line in lines if (value := _decoded(line)) is not None]
+        *lines, self.input_buffer = self.input_buffer.split(b"\n")
+        return [value for line in lines if (value := _decode_line(line)) is not None]
 
     def discard(self) -> None:
-        """Nothing more will come, and nobody else is to read it; what could not be read yet stays."""
+        """Remove the file once no more lines will be written. It stays if it could not be read completely."""
         if self.read_failed:
             return
-        if self.reading is not None:
-            close_quietly(self.reading)
-            self.reading = None
-        self.unread = b""
+        if self.input_file is not None:
+            close_quietly(self.input_file)
+            self.input_file = None
+        self.input_buffer = b""
         if os.path.exists(self.path):
             remove_quietly(self.path)
 
-    def release(self, learned: Any) -> None:
-        """Leave what we know, then let go of the right to send. While what we know cannot be written the
-        right stays here: whoever did not hear of a told wait would break it. See ``flush``."""
+    def release(self, state: Any) -> None:
+        """Write the state, then release the right to send.
+
+        The right is kept while the state cannot be written: a successor that does not know of a retry-after
+        would violate it. See ``flush``.
+        """
         self.releasing = True
-        self.append_line(learned)
+        self.append_line(state)
 
     def append_line(self, value: Any) -> None:
-        """One more line for the process that sends now."""
+        """Append a line for the successor."""
         data = json.dumps(value, separators=(",", ":")).encode() + b"\n"
-        if self.written + len(data) <= self.max_bytes:
-            self.written += len(data)
-            self.unwritten += data
+        if self.total_bytes + len(data) <= self.max_bytes:
+            self.total_bytes += len(data)
+            self.output_buffer += data
         self.flush()
 
     def flush(self) -> None:
-        """Write what the disk has not taken yet."""
+        """Write the output buffer, then release the right to send if that is due."""
         try:
-            if self.writing is None:
+            if self.output_file is None:
                 remove_quietly(self.temporary_path)
                 flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
-                self.writing = os.open(self.temporary_path, flags, 0o600)
-            while self.unwritten:
-                del self.unwritten[: os.write(self.writing, self.unwritten)]
+                self.output_file = os.open(self.temporary_path, flags, 0o600)
+            while self.output_buffer:
+                del self.output_buffer[: os.write(self.output_file, self.output_buffer)]
             if self.releasing:
                 os.rename(self.temporary_path, self.path)
         except OSError as error:
-            self._failed("cannot write", error)
+            self._report_failure("cannot write", error)
             return
         if self.releasing:
             self.releasing = False
-            if self.lock is not None:
-                fcntl.flock(self.lock, fcntl.LOCK_UN)
+            if self.lock_file is not None:
+                fcntl.flock(self.lock_file, fcntl.LOCK_UN)
 
     def close(self) -> None:
-        """Whoever holds the right to send lets go of it with this."""
-        for file in (self.writing, self.reading, self.lock):
+        """Close all files. This releases the right to send if the process holds it."""
+        for file in (self.output_file, self.input_file, self.lock_file):
             if file is not None:
                 close_quietly(file)
 
-    def _failed(self, what: str, error: OSError) -> None:
-        """Said once: who failed tries again soon."""
+    def _report_failure(self, operation: str, error: OSError) -> None:
+        """Log the first failure only: operations are retried at short intervals."""
         if not self.failing:
-            log.error("handover: %s: %s", what, error.strerror)
+            log.error("handover: %s: %s", operation, error.strerror)
         self.failing = True
 
 
-def _decoded(line: bytes) -> Any:
+def _decode_line(line: bytes) -> Any:
     try:
         return json.loads(line)
     except ValueError:
-        log.warning("handover: a line can't be read")
+        log.warning("handover: a line is not valid JSON")
         return None
--- a/garnetrelay/ownership.py
+++ b/garnetrelay/ownership.py
@@ -1,8 +1,8 @@
-"""Which messages are this process's: those in the journals whose locks it holds.
+"""Ownership of messages: a process owns the messages in the journals whose locks it holds.
 
-Two processes share the folder during an upgrade. Each message stands in one journal; a journal's lock says
-whose it is, and ends with its holder. A kill halfway through a hand-over may leave a message in two journals,
-both free by then: whoever takes them up takes it once.
+Two processes share the folder during an upgrade. Each message is in one journal. The holder of a journal's
+lock owns its messages, and the kernel frees the lock when the holder exits. A kill during a hand-over may
+leave a message in two unlocked journals; the process that acquires both keeps it once.
 """
 
 from __future__ import annotations
@@ -19,59 +19,62 @@
 
 log = logging.getLogger(__name__)
 
-NAME = re.compile(r"journal(\.\d+)?")
-MOST_JOURNALS = 1000  # files that are looked at for a free one
-HANDOVER_SHARE = 8  # of the disk, an eighth is for what a process passes on besides messages
+JOURNAL_NAME = re.compile(r"journal(\.\d+)?")
+MAX_JOURNALS = 1000  # file names that are tried to find a free one
+HANDOVER_DISK_DIVISOR = 8  # the hand-over file gets 1/8 of the disk limit
 
 
 class Ownership:
-    """The journals that are ours: one for what is taken on, and those that others left."""
+    """The journals that this process holds: its own for new messages, and those that others left."""
 
     def __init__(self, folder: Path, disk_bytes: int, shared: bool) -> None:
         self.folder = folder
         self.shared = shared
-        # Another process may come at any time, and the limit is for both together.
-        self.max_bytes = (disk_bytes - disk_bytes // HANDOVER_SHARE) // 2 if shared else disk_bytes
+        # Another process may start at any time, and the limit applies to both together.
+        self.max_bytes = (disk_bytes - disk_bytes // HANDOVER_DISK_DIVISOR) // 2 if shared else disk_bytes
         self.journals: dict[str, Journal] = {}
-        self.held_by_others: list[Path] = []  # another live process's, at the last look
-        self.unreadable: set[str] = set()  # what cannot be opened or read just now, at the last look
-        # taken up while another process lives: a second journal may name it too
+        self.held_by_others: list[Path] = []  # locked by another live process at the last check
+        self.unreadable: set[str] = set()  # could not be opened or read at the last check
+        # acquired while another process is alive: a second journal may contain it too
         self.acquired_ids: set[str] = set()
         self.entries: ChainMap[str, JournalEntry] = ChainMap()
         _require_folder(folder)
-        self.own = self._create()  # None while none can be opened
+        self.own_journal = self._open_free_journal()  # None while no journal can be opened
         self.acquire_free_journals()
 
     def close(self) -> None:
+        """Close all journals and release their locks."""
         for journal in self.journals.values():
             journal.close()
 
     @property
     def may_have_more(self) -> bool:
-        """Whether there may be more to take up: another process's, or what cannot be opened just now."""
-        return bool(self.held_by_others or self.unreadable) or self.own is None
+        """Whether more journals may be acquired later: those of another process or not readable yet."""
+        return bool(self.held_by_others or self.unreadable) or self.own_journal is None
 
     @property
     def failing(self) -> bool:
-        """Whether some record cannot be written just now."""
-        return self.own is None or any(journal.failing for journal in self.journals.values())
+        """Whether some record cannot be written at present."""
+        return self.own_journal is None or any(journal.failing for journal in self.journals.values())
 
     def flush(self) -> bool:
-        """Write what could not be written before. Whether nothing is left to write."""
+        """Write pending records. Return whether none is left."""
         flushed = [journal.flush() for journal in self.journals.values()]
-        self._tidy()
-        return self.own is not None and all(flushed)
+        self._remove_empty_journals()
+        return self.own_journal is not None and all(flushed)
 
     def acquire_free_journals(self) -> list[JournalEntry]:
-        """Take every journal that nobody holds, and open one of our own where that was not possible before;
-        the messages and notices that are ours from now on."""
-        taken: list[JournalEntry] = []
+        """Acquire all unlocked journals, and open the own journal if that was not possible before.
+
+        Returns the entries of the acquired journals: messages and notices that this process owns now.
+        """
+        acquired: list[JournalEntry] = []
         try:
-            names = sorted(path.name for path in self.folder.iterdir() if NAME.fullmatch(path.name))
-        except OSError as error:  # whoever looks goes on looking; what was another's is still held to be
-            self._cannot_read("the folder", error)
-            return taken
-        foreign: list[Path] = []
+            names = sorted(path.name for path in self.folder.iterdir() if JOURNAL_NAME.fullmatch(path.name))
+        except OSError as error:  # the caller checks again; held_by_others stays as it was
+            self._report_unreadable("the folder", error)
+            return acquired
+        locked_journals: list[Path] = []
         unreadable = self.unreadable
         self.unreadable = set()
         for name in names:
@@ -80,139 +83,155 @@
             try:
                 journal = Journal(self.folder, self.max_bytes, name, create=False)
             except BlockingIOError:
-                foreign.append(self.folder / name)
+                locked_journals.append(self.folder / name)
             except FileNotFoundError:
                 pass
-            except OSError as error:  # no descriptor is left, say
-                self._cannot_read(name, error, unreadable)
+            except OSError as error:  # for example if no descriptor is left
+                self._report_unreadable(name, error, unreadable)
             else:
-                taken += self._add(journal)
-        self.held_by_others = foreign
+                acquired += self._add_journal(journal)
+        self.held_by_others = locked_journals
         self.acquired_ids = (
-            self.acquired_ids | {entry.ref for entry in taken} if self.held_by_others else set()
+            self.acquired_ids | {entry.ref for entry in acquired} if self.held_by_others else set()
         )
-        if self.own is None and (own := self._create()) is not None:
-            self.own = own
-            del self.journals[own.path.name]
-            self._chain()
-            taken += self._add(own)  # a journal taken up before it may name the same messages
-        self._tidy()
-        return taken
-
-    def _cannot_read(self, name: str, error: OSError, known: Iterable[str] = ()) -> None:
-        """Said once, not at each look."""
-        if name not in self.unreadable and name not in known:
-            log.error("journal: %s cannot be taken up: %s", name, error.strerror)
+        if self.own_journal is None and (new_journal := self._open_free_journal()) is not None:
+            self.own_journal = new_journal
+            del self.journals[new_journal.path.name]
+            self._rebuild_entries()
+            # Journals acquired before may contain the same messages.
+            acquired += self._add_journal(new_journal)
+        self._remove_empty_journals()
+        return acquired
+
+    def _report_unreadable(self, name: str, error: OSError, already_reported: Iterable[str] = ()) -> None:
+        """Log once, not at each check, that a file cannot be opened or read."""
+        if name not in self.unreadable and name not in already_reported:
+            log.error("journal: %s cannot be opened or read: %s", name, error.strerror)
         self.unreadable.add(name)
 
-    def is_held_elsewhere(self, ref: str) -> bool:
-        """Whether another live process has a message on record."""
-        mark = b'"ref":' + json.dumps(ref).encode()
-        return any(mark in _read(path) for path in self.held_by_others)
+    def is_held_elsewhere(self, message_id: str) -> bool:
+        """Return whether a message is in the journal of another live process."""
+        pattern = b'"ref":' + json.dumps(message_id).encode()
+        return any(pattern in _read_file(path) for path in self.held_by_others)
 
-    def hand_over(self, refs: Iterable[str]) -> list[str]:
-        """Move messages to a journal of their own and let go of it; those that were moved."""
-        journal = self._create()
+    def hand_over(self, message_ids: Iterable[str]) -> list[str]:
+        """Move messages to a separate journal and release it. Return the ids of the moved messages."""
+        journal = self._open_free_journal()
         if journal is None:
             return []
-        moved = [ref for ref in refs if journal.accept(self.entries[ref])]
-        for ref in moved:  # from here on a kill leaves it in one journal only
-            self.record_finish(ref, None)
+        moved = [message_id for message_id in message_ids if journal.accept(self.entries[message_id])]
+        for message_id in moved:  # after this a kill leaves it in one journal only
+            self.record_finish(message_id, None)
         del self.journals[journal.path.name]
-        self._chain()
+        self._rebuild_entries()
         if journal.entries or not journal.remove():
             journal.close()
         return moved
 
-    # ---- what happens to a message
+    # ---- records of messages
 
     def has_room(self, weight: int) -> bool:
-        """Left journals are ours to count too, until what is in them has ended. So is that of a process which
-        is not gone yet, where none was meant to be beside us: it reckoned with the whole disk."""
-        left = sum(journal.size for journal in self.journals.values() if journal is not self.own)
+        """Return whether one more message fits.
+
+        Acquired journals count until their messages have ended. Without a shared folder the journal of a
+        process that has not exited yet counts as well: that process used the whole disk limit.
+        """
+        other_journals_bytes = sum(
+            journal.size for journal in self.journals.values() if journal is not self.own_journal
+        )
         if not self.shared:
-            left += sum(_size(path) for path in self.held_by_others)
-        return self.own is not None and self.own.has_room(weight + left // 2)
+            other_journals_bytes += sum(_file_size(path) for path in self.held_by_others)
+        return self.own_journal is not None and self.own_journal.has_room(weight + other_journals_bytes // 2)
 
     def accept(self, entry: JournalEntry) -> bool:
-        """Whether the message is on record now; without that it must not be taken on."""
-        return self.own is not None and self.own.accept(entry)
+        """Record a message. Return whether it is recorded; otherwise it must not be accepted."""
+        return self.own_journal is not None and self.own_journal.accept(entry)
 
-    def can_record(self, ref: str) -> bool:
-        """Whether an attempt of a message could be recorded just now, as far as is known."""
-        journal = self._journal(ref)
+    def can_record(self, message_id: str) -> bool:
+        """Return whether an attempt of a message can probably be recorded at present."""
+        journal = self._journal_of(message_id)
         return journal is not None and not journal.failing
 
-    def record_attempt_start(self, ref: str, zone: str, now_ms: int) -> bool:
-        """Whether the attempt is on record now; without that its first byte must not go out."""
-        journal = self._journal(ref)
-        return journal is not None and journal.record_attempt_start(ref, zone, now_ms)
-
-    def record_outcome(self, ref: str, may_have_run: bool) -> None:
-        if (journal := self._journal(ref)) is not None:
-            journal.record_outcome(ref, may_have_run)
-
-    def record_finish(self, ref: str, result: str | None, wait_ms: int = 0) -> bool:
-        """Whether the end is on record now; see ``Journal.record_finish``."""
-        journal = self._journal(ref)
-        recorded = journal is not None and journal.record_finish(ref, result, wait_ms)
-        self._tidy()
+    def record_attempt_start(self, message_id: str, zone: str, now_ms: int) -> bool:
+        """Record an attempt. Return whether it is recorded; otherwise its first byte must not be sent."""
+        journal = self._journal_of(message_id)
+        return journal is not None and journal.record_attempt_start(message_id, zone, now_ms)
+
+    def record_outcome(self, message_id: str, possibly_executed: bool) -> None:
+        """Record the outcome of an attempt."""
+        if (journal := self._journal_of(message_id)) is not None:
+            journal.record_outcome(message_id, possibly_executed)
+
+    def record_finish(self, message_id: str, result: str | None, wait_ms: int = 0) -> bool:
+        """Record an end. Return whether it is recorded; see ``Journal.record_finish``."""
+        journal = self._journal_of(message_id)
+        recorded = journal is not None and journal.record_finish(message_id, result, wait_ms)
+        self._remove_empty_journals()
         return recorded
 
-    def record_notified(self, ref: str) -> None:
-        if (journal := self._journal(ref)) is not None:
-            journal.record_notified(ref)
-        self._tidy()
+    def record_notified(self, message_id: str) -> None:
+        """Record that the notice of a message was acknowledged."""
+        if (journal := self._journal_of(message_id)) is not None:
+            journal.record_notified(message_id)
+        self._remove_empty_journals()
 
-    # ---- the journals
+    # ---- journals
 
-    def _journal(self, ref: str) -> Journal | None:
-        return next((journal for journal in self.journals.values() if ref in journal.entries), self.own)
+    def _journal_of(self, message_id: str) -> Journal | None:
+        return next(
+            (journal for journal in self.journals.values() if message_id in journal.entries), self.own_journal
+        )
 
-    def _create(self) -> Journal | None:
-        """The first that is free or new; its number tells nothing. None where none can be opened just now."""
-        for number in range(MOST_JOURNALS):
+    def _open_free_journal(self) -> Journal | None:
+        """Open the first unlocked or new journal; its number has no meaning. None if none can be opened."""
+        for number in range(MAX_JOURNALS):
             name = f"journal.{number}" if number else "journal"
             if name in self.journals:
                 continue
-            stood_there = os.path.exists(self.folder / name)
+            existed = os.path.exists(self.folder / name)
             try:
                 journal = Journal(self.folder, self.max_bytes, name)
-            except (BlockingIOError, FileNotFoundError):  # another's, or removed just as we opened it
+            except (BlockingIOError, FileNotFoundError):
+                # It is locked by another process, or was removed while it was opened.
                 continue
             except OSError as error:
-                self._cannot_read(name, error)
-                if stood_there:  # perhaps that file alone
+                self._report_unreadable(name, error)
+                if existed:  # the error may concern that file only
                     continue
                 return None
             self.journals[name] = journal
-            self._chain()
+            self._rebuild_entries()
             return journal
         return None
 
-    def _add(self, journal: Journal) -> list[JournalEntry]:
-        for ref in [ref for ref in journal.entries if ref in self.acquired_ids or ref in self.entries]:
-            journal.record_finish(ref, None)
-            journal.record_notified(ref)
+    def _add_journal(self, journal: Journal) -> list[JournalEntry]:
+        """Add an acquired journal without the messages that another one contains. Return its entries."""
+        for message_id in [
+            message_id
+            for message_id in journal.entries
+            if message_id in self.acquired_ids or message_id in self.entries
+        ]:
+            journal.record_finish(message_id, None)
+            journal.record_notified(message_id)
         self.journals[journal.path.name] = journal
-        self._chain()
+        self._rebuild_entries()
         return list(journal.entries.values())
 
-    def _chain(self) -> None:
+    def _rebuild_entries(self) -> None:
         self.entries = ChainMap(*(journal.entries for journal in self.journals.values()))
 
-    def _tidy(self) -> None:
-        """A left journal goes with its last message."""
+    def _remove_empty_journals(self) -> None:
+        """Remove acquired journals that have no entries left."""
         if len(self.journals) == 1:
             return
         for name, journal in list(self.journals.items()):
-            if journal is not self.own and not journal.entries and journal.remove():
+            if journal is not self.own_journal and not journal.entries and journal.remove():
                 del self.journals[name]
-                self._chain()
+                self._rebuild_entries()
 
 
 def _require_folder(folder: Path) -> None:
-    """OSError where there is none: that is no passing trouble."""
+    """Raise OSError if the folder does not exist. Other errors may be temporary and are only logged."""
     try:
         folder.stat()
     except (FileNotFoundError, NotADirectoryError):
@@ -221,14 +240,14 @@
         log.error("journal: the folder cannot be read: %s", error.strerror)
 
 
-def _read(path: Path) -> bytes:
+def _read_file(path: Path) -> bytes:
     try:
         return path.read_bytes()
     except OSError:
         return b""
 
 
-def _size(path: Path) -> int:
+def _file_size(path: Path) -> int:
     try:
         return path.stat().st_size
     except OSError:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -304,7 +304,7 @@
         for n in range(2):
             await client.enqueue(f"warm{n}")
             (await self.host.next_call()).answer(200)
-            await until(lambda: not self.relays[0].held)
+            await until(lambda: not self.relays[0].held_messages)
 
 
 async def until(condition: Callable[[], bool]) -> None:
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -375,7 +375,7 @@
     (await field.host.next_call()).answer(200)
     assert set(relay.pacer.endpoints) == {"e-29998", "e-29999"}
     watch.line(listing(51, {**lines(30_000)[29_998], "status": "Gone"}, {**lines(1)[0], "group": 14_999}))
-    await until(lambda: relay.catalog.version == 51 and not relay.inbox)
+    await until(lambda: relay.catalog.version == 51 and not relay.event_queue)
     assert set(relay.pacer.endpoints) == {"e-0", "e-29999"} == set(relay.connection_pool.addresses)
 
 
@@ -461,7 +461,7 @@
     for n in range(6):
         await client.enqueue(f"m{n}")
         (await other.next_call()).answer(200)
-        await until(lambda: not field.relays[0].held)
+        await until(lambda: not field.relays[0].held_messages)
     assert field.host.calls.empty()
     await other.stop()
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -58,9 +58,9 @@
     on_next_connection(monkeypatch, breaks)
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
-    assert field.relays[0].held["m1"].attempts == 1
+    assert field.relays[0].held_messages["m1"].attempts == 1
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     assert field.platform.notices.empty()
 
 
@@ -118,7 +118,7 @@
             assert piece, "closed before the call had come whole"
             got += piece
     side.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     side.close()
     return got
 
@@ -162,7 +162,7 @@
     await until(lambda: connection in relay.connection_pool.idle.get("s-1", ()))
     assert timer.cancelled() and connection.timer is not timer
     (await field.host.next_call()).answer(200)
-    await until(lambda: not relay.held)
+    await until(lambda: not relay.held_messages)
 
 
 # ---- clients, and the end of the process
@@ -217,7 +217,7 @@
     assert call.headers["x-request-id"] == "m2"
     call.answer(200)
     relay = field.relays[0]
-    await until(lambda: not relay.held and not relay.pacer.calls and not relay.pacer.messages)
+    await until(lambda: not relay.held_messages and not relay.pacer.calls and not relay.pacer.messages)
     await until(lambda: len(relay.server.connections) == 1)
     assert not [record for record in caplog.records if record.exc_info]
 
@@ -245,7 +245,9 @@
 
     monkeypatch.setattr(spoilt, "send_ready", fails)
     await both_are_delivered(field, raw, other)
-    await until(lambda: not relay.held and not relay.pacer.calls and len(relay.server.connections) == 1)
+    await until(
+        lambda: not relay.held_messages and not relay.pacer.calls and len(relay.server.connections) == 1
+    )
     raw.close()
 
 
@@ -275,7 +277,7 @@
     relay.server.draining = True
     monkeypatch.setattr(select, "poll", Look)
     await both_are_delivered(field, raw, other)
-    await until(lambda: not relay.held and not relay.pacer.calls)
+    await until(lambda: not relay.held_messages and not relay.pacer.calls)
     assert raw.fileno() < 0
     assert not [record for record in caplog.records if record.exc_info]
 
@@ -359,7 +361,7 @@
     await field.host.next_call()
     relay = field.relays[0]
     client.write("ENQUEUE", "0", "m2", "c=safe,d=8000,dest=3", "x")
-    relay.ending = True
+    relay.closing = True
     assert await client.read() == "BUSY"
     await relay.finish_connections()
     assert await client.read() is None
@@ -381,7 +383,7 @@
     monkeypatch.setattr(relay.journal, "record_finish", killed)
     await client.enqueue("m1", "unsafe")
     (await field.host.next_call()).answer(status)
-    await until(lambda: not relay.held)
+    await until(lambda: not relay.held_messages)
     (tmp_path / "copy").write_bytes(copies[0])
     entry = Journal(tmp_path, 3_000_000, "copy").entries["m1"]
     assert entry.attempts == 1 and (entry.trying_at is not None or entry.ran_at is not None)
@@ -394,7 +396,7 @@
     command = packed("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", "x")
     client.writer.write(command[:30])
     await until(lambda: any(connection.unread for connection in relay.server.connections))
-    relay.ending = True
+    relay.closing = True
     end = asyncio.create_task(relay.server.end())
     await asyncio.sleep(0)
     client.writer.write(command[30:])
@@ -406,7 +408,7 @@
 async def test_turn_that_was_due_when_the_process_closed_touches_nothing(field: Field) -> None:
     await field.start()
     relay = field.relays.pop()
-    relay._post(io.MessageArrived("m1", 0, 0, 3, None, 10**9))
+    relay._enqueue_event(io.MessageArrived("m1", 0, 0, 3, None, 10**9))
     relay.close()
     await asyncio.sleep(0)
     relay.server.stop()
@@ -422,9 +424,9 @@
     await relay.start()
     relay.shutdown()
     os.close(lock)  # the process before it lets go just now
-    assert relay.overseer is not None
+    assert relay.takeover_task is not None
     async with asyncio.timeout(PATIENCE):
-        await relay.overseer
+        await relay.takeover_task
     assert relay.server.address is None and not relay.health.ready
     listener.close()
 
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -134,7 +134,7 @@
 
 def on_record(field: Field, ref: str) -> JournalEntry | None:
     """What a process that starts after a kill at this moment would find."""
-    journal = field.relays[0].journal.own
+    journal = field.relays[0].journal.own_journal
     assert journal is not None
     copy = field.folder / f"copy{time.monotonic_ns()}"
     copy.mkdir()
@@ -160,7 +160,7 @@
     call = await field.host.next_call()
     disk = FailingDisk(monkeypatch, number, ("write",))
     call.answer(500)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     await asyncio.sleep(0.5)
     assert field.platform.notices.empty()
     disk.failing = False
@@ -192,7 +192,7 @@
     disk = FailingDisk(monkeypatch, errno.ENOSPC, ("write", "open"))
     for count in range(20):
         assert 0 < await refused(client, f"refused{count}") <= 3000
-    assert field.host.calls.empty() and not field.relays[0].held
+    assert field.host.calls.empty() and not field.relays[0].held_messages
     disk.failing = False
     await until(lambda: not field.relays[0].journal.failing)
     assert await client.enqueue("m1") == b"OK"
@@ -216,11 +216,11 @@
         patch.setattr(os, "write", takes_one_record)
         assert await client.enqueue("m1", "unsafe") == b"OK"
         await asyncio.sleep(0.5)
-        assert field.host.calls.empty() and "m1" in field.relays[0].held
+        assert field.host.calls.empty() and "m1" in field.relays[0].held_messages
     call = await field.host.next_call()
     assert call.headers["x-request-id"] == "m1"
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
 
 
 @pytest.mark.parametrize("calls", [("open",), ("pread",), ("open", "unlink", "ftruncate"), ("listdir",)])
--- a/tests/test_health_store.py
+++ b/tests/test_health_store.py
@@ -10,7 +10,7 @@
 import pytest
 
 from garnetrelay import health_store
-from garnetrelay.health_store import MAX_TIME_AHEAD, HealthStore
+from garnetrelay.health_store import MAX_TIME_AHEAD_NS, HealthStore
 from starlingwick.interface import HealthRecord
 from tests.helpers import S
 
@@ -117,7 +117,7 @@
 
 
 def test_time_beyond_any_wait_counts_as_just_now(tmp_path: Path) -> None:
-    kept(tmp_path, record(1, last_bad_outcome_at=NOW + MAX_TIME_AHEAD + 1))
+    kept(tmp_path, record(1, last_bad_outcome_at=NOW + MAX_TIME_AHEAD_NS + 1))
     assert loaded(tmp_path)[0].last_bad_outcome_at == NOW
 
 
--- a/tests/test_introduced.py
+++ b/tests/test_introduced.py
@@ -134,13 +134,13 @@
             call = await field.host.next_call()
             assert call.headers["x-request-id"] == f"m{turn}-{n}"
             call.answer(200)
-            await until(lambda: len(relay.held) <= 1)
-    await until(lambda: not relay.inbox)
+            await until(lambda: len(relay.held_messages) <= 1)
+    await until(lambda: not relay.event_queue)
     assert (
         len(relay.loaded_endpoints) <= USED + 4
         and relay.loaded_endpoints.keys() == relay.pacer.loaded_destinations.keys()
     )
-    assert set(relay.connection_pool.addresses) == set(relay.zones) == set(relay.pacer.endpoints)
+    assert set(relay.connection_pool.addresses) == set(relay.endpoint_zones) == set(relay.pacer.endpoints)
     # longer than all that has been let go since
     assert relay.pacer.routes[0][0].retry_after_until > relay.pacer.now
     assert relay.metrics.current <= 1 and len(relay.catalog) == count
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -74,7 +74,7 @@
     again = await field.host.next_call()
     assert changed(metrics, before) == {"current": 1, "sends_total": 2}
     again.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     assert changed(metrics, before) == {"answered_total/safe": 1, "sends_total": 2}
 
 
@@ -88,9 +88,9 @@
     assert changed(relay.metrics, before) == {"errored_total/unsafe": 1, "sends_total": 1}
     assert await client.enqueue("gone") == b"OK"
     (await field.host.next_call()).answer(410)  # over without us: it ended nowhere
-    await until(lambda: not relay.held)
+    await until(lambda: not relay.held_messages)
     assert changed(relay.metrics, before) == {"errored_total/unsafe": 1, "sends_total": 2}
-    relay.on_list_update(relay.reader.read({"index": 42, "snapshot": True, "endpoints": []}))
+    relay.on_list_update(relay.entry_parser.read({"index": 42, "snapshot": True, "endpoints": []}))
     assert await client.enqueue("late", d=200) == b"OK"
     assert (await field.platform.next_notice())["result"] == "bounced"
     assert changed(relay.metrics, before) == {
@@ -119,7 +119,7 @@
     metrics = field.relays[0].metrics
     assert read(metrics)["current"] == 1
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     assert read(metrics)["answered_total/safe"] == 1 and read(metrics)["current"] == 0
 
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -69,8 +69,8 @@
     second = opened(tmp_path)
     first = opened(tmp_path)
     assert first.accept(entry("a"))
-    assert first.own is not None
-    before = first.own.path
+    assert first.own_journal is not None
+    before = first.own_journal.path
     struck = tmp_path / "kept"
     shutil.copy(before, struck)
     assert first.hand_over(["a"]) == ["a"]
@@ -106,7 +106,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(ownership_module, "Journal", open_late)
         late = opened(tmp_path)
-    assert late.own is not None and refs(late) == {"a"}
+    assert late.own_journal is not None and refs(late) == {"a"}
     late.record_finish("a", None)
     late.close()
     assert refs(opened(tmp_path)) == set()
@@ -150,12 +150,12 @@
 def test_disk_is_shared_with_a_process_that_is_not_gone_yet(tmp_path: Path) -> None:
     """Each was told that the folder is its own: the first may have filled it."""
     before = Ownership(tmp_path, DISK, shared=False)
-    assert before.own is not None
+    assert before.own_journal is not None
     n = 0
-    while before.own.live_bytes < 0.3 * DISK:
+    while before.own_journal.live_bytes < 0.3 * DISK:
         assert before.accept(entry(f"m{n}", 2000))
         n += 1
-    while before.own.size < 0.65 * DISK:
+    while before.own_journal.size < 0.65 * DISK:
         assert before.record_attempt_start("m0", "north", 1)
     after = Ownership(tmp_path, DISK, shared=False)
     while after.has_room(2000):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -24,7 +24,7 @@
     assert call.headers["x-request-id"] == "m1" and call.headers["idempotency-key"] == "key-m1"
     assert 0 < int(call.headers["x-timeout-ms"]) <= 8000
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     assert field.relays[0].journal.entries == {} and field.platform.notices.empty()
 
 
@@ -48,7 +48,7 @@
     field.facts["limits"]["mostHeld"] = 20
     client = await field.start()
     answers = [await client.enqueue(f"m{n}") for n in range(40)]
-    assert len(field.relays[0].held) <= 20
+    assert len(field.relays[0].held_messages) <= 20
     bounced = 0
     while not field.platform.notices.empty():
         bounced += field.platform.notices.get_nowait()["result"] == "bounced"
@@ -95,7 +95,7 @@
     client = await field.start()
     assert (await client.ask(*words)).startswith("ERR")
     assert await client.ask("PING") == b"PONG"
-    assert field.relays[0].held == {}
+    assert field.relays[0].held_messages == {}
 
 
 @pytest.mark.parametrize(
@@ -126,7 +126,7 @@
     client.writer.write(command[:-2] + b"XX" + command)
     assert (await client.read()).startswith("ERR")
     assert await client.read() is None
-    assert field.relays[0].held == {} and field.host.calls.empty()
+    assert field.relays[0].held_messages == {} and field.host.calls.empty()
 
 
 async def test_command_may_come_in_pieces_and_with_the_next_behind_it(field: Field) -> None:
@@ -154,7 +154,7 @@
     assert call.headers["x-request-id"] == "m2"
     call.answer(200)
     pacer = field.relays[0].pacer
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     await until(lambda: not pacer.calls and not pacer.messages)
 
 
@@ -270,7 +270,7 @@
     again = HttpServer()
     again.server = await asyncio.start_server(again._serve, "127.0.0.1", int(address.split(":")[1]))
     (await again.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     await again.stop()
     assert field.platform.notices.empty()
 
@@ -327,7 +327,7 @@
 )
 async def test_first_line_that_says_200_stands_whatever_follows(field: Field, answer: bytes) -> None:
     await answer_and_close(field, answer)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     assert field.relays[0].journal.entries == {} and field.relays[0].notices.queue == {}
 
 
@@ -357,7 +357,7 @@
     client = await field.start()
     await client.enqueue("m1")
     (await field.host.next_call()).answer(410)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     assert field.platform.notices.empty() and field.relays[0].journal.entries == {}
 
 
@@ -396,7 +396,7 @@
         seen.add(call.connection)
         call.raw(b"HTTP/1.1 102 Processing\r\n\r\n")
         call.answer(200, body=b"thanks")
-        await until(lambda: not field.relays[0].held)
+        await until(lambda: not field.relays[0].held_messages)
     assert len(seen) == 1
 
 
@@ -434,7 +434,7 @@
     call = await field.host.next_call()
     call.answer(200)
     net = field.relays[0].connection_pool
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     await until(lambda: any(net.idle.values()))
     idle = net.idle["s-1"][0]
     assert idle.transport is not None and idle.is_usable(unknown=True)
@@ -459,7 +459,7 @@
     await client.enqueue("m1")
     (await field.host.next_call()).break_off()
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     dest, host = field.relays[0].pacer.endpoints["s-1"]
     assert (dest.last_bad_outcome_at == 0) is answered and (host.failure_rate == 0.0) is answered
 
@@ -481,9 +481,9 @@
     monkeypatch.setattr(relay.connection_pool, "_open", fails_once)
     await client.enqueue("m1")
     call = await field.host.next_call()
-    assert relay.held["m1"].attempts == attempts
+    assert relay.held_messages["m1"].attempts == attempts
     call.answer(200)
-    await until(lambda: not relay.held)
+    await until(lambda: not relay.held_messages)
 
 
 async def test_idle_connections_go_with_a_call_that_timed_out(field: Field) -> None:
@@ -531,7 +531,7 @@
     assert field.relays[0].journal.entries["m1"].attempts == 0 and field.host.calls.empty()
     net.start = begin  # type: ignore[method-assign]
     pacer.endpoints["s-1"][1].available = True
-    field.relays[0]._post(io.TimerExpired(0))
+    field.relays[0]._enqueue_event(io.TimerExpired(0))
     (await field.host.next_call()).answer(200)
 
 
@@ -628,7 +628,7 @@
     told = time.monotonic()
     dest = field.relays[0].pacer.routes[3][0]
     await until(lambda: dest.retry_after_until > 0)
-    assert field.relays[0].held["m1"].exchange is not None  # the rest may still come
+    assert field.relays[0].held_messages["m1"].exchange is not None  # the rest may still come
     await client.enqueue("m2")
     first.break_off()
     for _ in range(2):
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -67,7 +67,7 @@
     refs = left_behind(field, klass, 8, 6000)
     tally = Tally(field, lambda call: call.answer(200))
     client = await field.start()
-    held = field.relays[0].held
+    held = field.relays[0].held_messages
     for n in range(40):  # more than it may hold: some are refused, none of those that were here first
         await client.enqueue(f"new{n}", "safe")
     await until(lambda: not refs & set(held))
@@ -90,7 +90,7 @@
     field.facts["familyInfo"]["callsOut"] = 1
     tally = Tally(field, answer)
     await field.start()
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     assert waits[1] - waits[0] >= 0.59 and set(tally.calls) == refs
 
 
@@ -112,8 +112,10 @@
     call.answer(200)
     assert await field.platform.next_notice() == {"ref": "tried", "result": "dead"}
     relay = field.relays[0]
-    await until(lambda: not relay.held and not relay.journal.entries and not relay.journal.held_by_others)
-    await until(lambda: relay.overseer is not None and relay.overseer.done())
+    await until(
+        lambda: not relay.held_messages and not relay.journal.entries and not relay.journal.held_by_others
+    )
+    await until(lambda: relay.takeover_task is not None and relay.takeover_task.done())
 
 
 @pytest.mark.parametrize("known", [True, False], ids=["not in the list", "no list"])
@@ -127,12 +129,12 @@
     client = await field.start()
     assert await client.ask("PING") == b"PONG"
     watch = await field.platform.next_watch()
-    assert list(field.relays[0].held) == ["old0"] and field.host.calls.empty()
+    assert list(field.relays[0].held_messages) == ["old0"] and field.host.calls.empty()
     watch.line(listing(42, listed))
     call = await field.host.next_call()
     assert call.headers["x-request-id"] == "old0"
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
 
 
 def trouble(relay: Relay) -> None:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -86,7 +86,7 @@
     writer.transport.abort()
     assert await other.enqueue("m1") == b"OK"
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held and len(server.connections) == 1)
+    await until(lambda: not field.relays[0].held_messages and len(server.connections) == 1)
 
 
 @pytest.mark.parametrize(
@@ -159,7 +159,10 @@
 
 def test_process_is_gone_before_it_may_be_killed() -> None:
     """SIGKILL comes no sooner than 3.7 s after SIGTERM, new connections for up to 0.4 s."""
-    assert 0.4 < relay.LISTEN_ON and relay.STOP_AFTER / relay.SECOND + clients.LAST_WORD <= 3.4
+    assert (
+        0.4 < relay.LISTEN_GRACE_PERIOD
+        and relay.SHUTDOWN_TIMEOUT_NS / relay.SECOND + clients.LAST_WORD <= 3.4
+    )
 
 
 # ---- late connections and repeat windows
@@ -242,7 +245,7 @@
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
     call.raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     async with asyncio.timeout(PATIENCE):
         while field.host.closed.empty():
             call.raw(b"1\r\nx\r\n")
@@ -264,7 +267,7 @@
         again = await field.host.next_call()
         assert again.connection == call.connection and again.headers["x-request-id"] == "m1"
         again.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     assert field.platform.notices.empty()
 
 
@@ -274,10 +277,10 @@
     await client.enqueue("m1")
     (await field.host.next_call()).answer(503, "X-Server-Load: x0=0.4,x1=1e-310")
     (await field.host.next_call()).answer(200, "X-Server-Load: x0=0.4,x1=1e308")
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     assert await client.enqueue("m2") == b"OK"
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
 
 
 # ---- readiness
@@ -292,4 +295,4 @@
     assert await client.ask("PING") == b"PONG"
     assert await client.enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -121,7 +121,7 @@
     failing.number = None
     for _ in range(3):
         (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     assert "outage" not in log_of(caplog) and not pacer.slow_start.is_active(dest, pacer.now)
     assert log_of(caplog).count(os.strerror(number)) == 1
 
@@ -157,7 +157,7 @@
         assert await client.ask("PING") == "ERR drained"
     call = await field.host.next_call()
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
 
 
 async def test_option_of_a_connection_that_cannot_be_set_costs_its_client_nothing(
@@ -204,7 +204,7 @@
     taken.answer(200)
     if call == "recv_into":
         (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].held_messages)
     dest = field.relays[0].pacer.routes[3][0]
     assert (left[0], dest.failure_rate, dest.endpoints[0].failure_rate, dest.last_failure_at) == (
         0,
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -63,7 +63,7 @@
 async def test_watch_that_is_not_taken_up_is_opened_anew_in_time(
     field: Field, monkeypatch: pytest.MonkeyPatch, mode: str
 ) -> None:
-    assert discovery.RESPONSE_TIMEOUT + discovery.SILENCE_TIMEOUT + relay.WATCH_AGAIN < 6
+    assert discovery.RESPONSE_TIMEOUT + discovery.SILENCE_TIMEOUT + relay.RESUBSCRIBE_DELAY < 6
     monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT", 0.1)
     field.facts["discovery"] = mode
     await field.start()
@@ -134,7 +134,7 @@
     await other.start()
     moved = {**endpoint(field.host), "group": 4, "weight": 80.0}
     watch.line(listing(42, moved, endpoint(other, "s-2")))
-    await until(lambda: one.discovery.index == 42 and not one.inbox)
+    await until(lambda: one.discovery.index == 42 and not one.event_queue)
     for ref, dest, host in (("m1", 3, other), ("m2", 4, field.host)):
         await client.enqueue(ref, dest=dest)
         call = await host.next_call()
@@ -170,7 +170,7 @@
     call = await other.next_call()
     assert call.headers["x-request-id"] == "m1" and one.journal.entries["m1"].attempts == 1
     call.answer(200)
-    await until(lambda: not one.held)
+    await until(lambda: not one.held_messages)
     assert field.host.calls.empty() and field.platform.notices.empty()
     await other.stop()
 
@@ -189,12 +189,12 @@
     watch.line(listing(42, {**endpoint(field.host), "address": other.address}))
     await until(lambda: one.discovery.index == 42)
     call.answer(200)
-    await until(lambda: not one.held and not one.connection_pool.open)
+    await until(lambda: not one.held_messages and not one.connection_pool.open)
     await client.enqueue("m2", "unsafe")
     call = await other.next_call()
     assert call.headers["x-request-id"] == "m2"
     call.answer(200)
-    await until(lambda: not one.held)
+    await until(lambda: not one.held_messages)
     assert field.host.calls.empty()
     await other.stop()
 
@@ -208,7 +208,7 @@
     for n in range(6):
         assert await client.enqueue(f"m{n}") == b"OK"
         (await field.host.next_call()).answer(200)
-        await until(lambda: not one.held)
+        await until(lambda: not one.held_messages)
     assert set(one.connection_pool.idle) == {"s-1", "s-2"}
     watch.line(listing(42, endpoint(field.host, status="Terminating")))
     await until(lambda: one.discovery.index == 42)
@@ -217,7 +217,7 @@
         await client.enqueue(f"n{n}")
         call = await field.host.next_call()
         call.answer(200)
-        await until(lambda: not one.held)
+        await until(lambda: not one.held_messages)
     assert {connection.endpoint for connection in one.connection_pool.open} == {"s-2"}
 
 
@@ -231,7 +231,7 @@
         assert await client.enqueue(ref) == b"OK"
         (await field.host.next_call()).answer(503)
         (await field.host.next_call()).answer(200)
-        await until(lambda: not field.relays[0].held)
+        await until(lambda: not field.relays[0].held_messages)
 
 
 async def test_idle_connections_go_with_the_process_they_led_to(field: Field) -> None:
