--- a/garnetrelay/clients.py
+++ b/garnetrelay/clients.py
@@ -1,4 +1,4 @@
-"""The RESP2 server that clients talk to: reads commands, answers each in its turn, decides nothing."""
+"""RESP2 server for clients: parses commands, dispatches them to a handler and writes answers in order."""
 
 from __future__ import annotations
 
@@ -18,31 +18,33 @@
 
 log = logging.getLogger(__name__)
 
-MOST_BODY = 64 * 1024
-MOST_COMMAND = MOST_BODY + 16 * 1024  # a command with all its framing
-FIRST_REQUEST = 0.5  # seconds in which who has just connected or asked may still have something under way
-REQUEST_TIMEOUT = 2.5  # seconds for a whole request to come: a peer is owed an answer or a close within 3
+MAX_BODY_BYTES = 64 * 1024
+MAX_COMMAND_BYTES = MAX_BODY_BYTES + 16 * 1024  # a command including its framing
+# seconds after a connect or a request in which a client's next request may be in transit
+RECENT_ACTIVITY_WINDOW = 0.5
+REQUEST_TIMEOUT = 2.5  # seconds to receive a complete request: clients expect an answer or a close within 3
 IDLE_TIMEOUT = 2.0  # seconds without a request after which a connection may be closed to make room
-LAST_WORD = 0.1  # seconds for an answer just written to reach its client before the connection is gone
-LOOK_AGAIN = 0.05  # seconds until what lies unread on an overdue connection has been looked at
-LINGER = 1.0  # seconds in which a client that is shut out may still read why
-MOST_SHUT_OUT = 16  # connections beyond the bound that may linger so: they are descriptors too
-MOST_REJECTED = 32  # requests in a row that can't be understood: no client sends so many
-BACKLOG = 512  # connections that may wait to be accepted
-ACCEPTED_AT_ONCE = 2  # in a turn of the loop: one that is shut out holds a descriptor for three turns
-ACCEPT_AGAIN = 0.1  # seconds without accepting where no descriptor is left
-ACCEPT_LAST = 0.02  # the same, for those who have connected as the relay stops listening
-NO_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # of accept: worth another try later
-SLICE = 16 * 1024  # bytes parsed at a time: what one command leaves unread stays small
+CLOSE_DELAY = 0.1  # seconds for an answer just written to reach its client before the close
+RECHECK_DELAY = 0.05  # seconds until an overdue connection with unread input is checked again
+LINGER_TIMEOUT = 1.0  # seconds in which a client may read the error before its connection is closed
+MAX_LINGERING_CONNECTIONS = 16  # connections above the limit that may linger: each holds a descriptor
+MAX_CONSECUTIVE_INVALID_REQUESTS = 32  # no working client sends so many
+BACKLOG = 512  # connections waiting to be accepted
+MAX_ACCEPTS_PER_ITERATION = 2  # a rejected connection holds a descriptor for three event loop iterations
+ACCEPT_RETRY_DELAY = 0.1  # seconds without accepting when no descriptor is left
+FINAL_ACCEPT_RETRY_DELAY = 0.02  # seconds; for connections still queued at shutdown
+# errors of accept() that are worth a later retry
+OUT_OF_RESOURCES_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+PARSE_CHUNK_BYTES = 16 * 1024  # parsed at a time: bounds the input left over after a command
 
 
 class InvalidRequest(ValueError):
-    """A request that cannot be understood; the text goes to the client."""
+    """An invalid request; the text is sent to the client."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A message that a client hands in."""
+    """A message enqueued by a client."""
 
     message_id: str
     class_name: str
@@ -53,7 +55,7 @@
 
 
 class Reply:
-    """The place of one answer in a connection's order."""
+    """The answer to one request; a connection writes its answers in the order of requests."""
 
     __slots__ = ("_connection", "data")
 
@@ -63,143 +65,146 @@
 
     @property
     def is_deliverable(self) -> bool:
-        """Whether its client is still there to hear it, and sent nothing unreadable behind it."""
-        return not self._connection.lost and not self._connection.closing
+        """Whether the client is still connected and its connection is not closing."""
+        return not self._connection.disconnected and not self._connection.closing
 
     def accept(self) -> None:
-        self._set(b"+OK\r\n")
+        self._set_data(b"+OK\r\n")
 
     def reject(self, wait_ms: int) -> None:
-        self._set(b"-BUSY %d\r\n" % wait_ms if wait_ms else b"-BUSY\r\n")
+        self._set_data(b"-BUSY %d\r\n" % wait_ms if wait_ms else b"-BUSY\r\n")
 
     def fail(self, text: str) -> None:
-        self._set(b"-ERR %s\r\n" % " ".join(text.split()).encode("ascii", "replace")[:200])
+        self._set_data(b"-ERR %s\r\n" % " ".join(text.split()).encode("ascii", "replace")[:200])
 
     def pong(self, payload: bytes | None) -> None:
-        self._set(b"+PONG\r\n" if payload is None else b"$%d\r\n%s\r\n" % (len(payload), payload))
+        self._set_data(b"+PONG\r\n" if payload is None else b"$%d\r\n%s\r\n" % (len(payload), payload))
 
-    def _set(self, data: bytes) -> None:
+    def _set_data(self, data: bytes) -> None:
         self.data = data
         try:
             self._connection.send_ready()
-        except Exception:  # whatever it is: the turn that answers has others to answer, and calls to send
-            log.exception("an answer cannot be written")
-            self._connection.drop()
+        except Exception:  # any error: the planning pass that answers has other answers and calls to send
+            log.exception("failed to write an answer")
+            self._connection.abort()
 
 
 Handler = Callable[[Request, Reply], None]  # may raise InvalidRequest
 
 
-def parse_enqueue(words: list[bytes]) -> Request:
-    """A request from the words of its command."""
-    if len(words) != 5:
+def parse_enqueue(arguments: list[bytes]) -> Request:
+    """Parse the arguments of an ENQUEUE command."""
+    if len(arguments) != 5:
         raise InvalidRequest("wrong number of arguments for 'ENQUEUE'")
     values: dict[str, str] = {}
-    for part in _text(words[3], 1024, "list").split(","):
-        name, equals, value = part.partition("=")
+    for field in _decode_ascii(arguments[3], 1024, "list").split(","):
+        name, equals, value = field.partition("=")
         if not equals:
-            raise InvalidRequest(f"'{part[:40]}' is not name=value")
+            raise InvalidRequest(f"'{field[:40]}' is not name=value")
         values[name] = value
-    if len(words[4]) > MOST_BODY:
+    if len(arguments[4]) > MAX_BODY_BYTES:
         raise InvalidRequest("body over 64 KiB")
     for name in ("c", "d", "dest"):
         if name not in values:
             raise InvalidRequest(f"'{name}' is missing")
-    patience = _whole_number(values["d"], "d")
-    if not patience:
+    time_left_ms = _parse_integer(values["d"], "d")
+    if not time_left_ms:
         raise InvalidRequest("'d' must be above 0")
     key = values.get("k")
     return Request(
-        message_id=_header_word(_text(words[2], 200, "id"), "id"),
+        message_id=_check_header_value(_decode_ascii(arguments[2], 200, "id"), "id"),
         class_name=values["c"],
-        destination=_whole_number(values["dest"], "dest"),
-        key=None if key is None else _header_word(key, "k"),
-        time_left_ms=patience,
-        body=words[4],
+        destination=_parse_integer(values["dest"], "dest"),
+        key=None if key is None else _check_header_value(key, "k"),
+        time_left_ms=time_left_ms,
+        body=arguments[4],
     )
 
 
-def _text(word: bytes, most: int, what: str) -> str:
-    if not word.isascii() or len(word) > most:
-        raise InvalidRequest(f"unreadable {what}")
-    return word.decode("ascii")
+def _decode_ascii(argument: bytes, max_length: int, field_name: str) -> str:
+    if not argument.isascii() or len(argument) > max_length:
+        raise InvalidRequest(f"unreadable {field_name}")
+    return argument.decode("ascii")
 
 
-def _header_word(text: str, what: str) -> str:
-    # It goes into an HTTP header unchanged: a space or a control character there would be another header.
+def _check_header_value(text: str, field_name: str) -> str:
+    # The text is copied into an HTTP header: a space or control character could inject another header.
     if not text or any(not "!" <= c <= "~" for c in text):
-        raise InvalidRequest(f"unreadable {what}")
+        raise InvalidRequest(f"unreadable {field_name}")
     return text
 
 
-def _whole_number(text: str, what: str) -> int:
+def _parse_integer(text: str, field_name: str) -> int:
     if not text.isascii() or not text.isdigit() or len(text) > 9:
-        raise InvalidRequest(f"'{what}' is no whole number in range")
+        raise InvalidRequest(f"'{field_name}' is no whole number in range")
     return int(text)
 
 
-def _end_sending(transport: asyncio.Transport) -> None:
+def _half_close(transport: asyncio.Transport) -> None:
     try:
         transport.write_eof()
-    except OSError:  # its client has reset it: what we have just written may have met a closed socket
+    except OSError:  # reset by the client: the latest write may have met a closed socket
         transport.abort()
 
 
 class Connection(BufferedReader):
-    """One client's connection."""
+    """A connection from a client."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
         self.buffer = server.buffer
-        self.reader = hiredis.Reader(protocolError=InvalidRequest, replyError=InvalidRequest)
-        self.unread = bytearray()  # of a command that has not come whole
-        self.more: bool = False  # of what has been read, a part has not been looked at
+        self.parser = hiredis.Reader(protocolError=InvalidRequest, replyError=InvalidRequest)
+        self.unparsed = bytearray()  # bytes of an incomplete command
+        self.has_more_chunks: bool = False  # part of the input read is not parsed yet
         self.replies: deque[Reply] = deque()
-        self.rejected = 0  # requests in a row that can't be understood
-        self.lost: bool = False
+        self.invalid_requests = 0  # in a row
+        self.disconnected: bool = False
         self.closing: bool = False
         self.transport: asyncio.Transport | None = None
-        self.timer: asyncio.TimerHandle | None = None  # runs until a request has come whole
-        self.quiet_from = 0.0  # when it was opened, or its last request came
-        self.answered_at = 0.0  # when something was last written to it
+        self.timer: asyncio.TimerHandle | None = None  # runs until a complete request has been received
+        self.last_request_at = 0.0  # time of the latest request, or of the connect
+        self.answered_at = 0.0  # time of the latest write
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if not self.server.make_room():
             self.fail("too many connections", busy=True)
-            if len(self.server.connections) >= self.server.max_connections + MOST_SHUT_OUT:
+            if len(self.server.connections) >= self.server.max_connections + MAX_LINGERING_CONNECTIONS:
                 transport.abort()
         self.server.connections[self] = None
-        self.quiet_from = asyncio.get_running_loop().time()
-        self._await_request()
+        self.last_request_at = asyncio.get_running_loop().time()
+        self._start_request_timer()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.lost = True
+        self.disconnected = True
         self.server.connections.pop(self, None)
-        self._request_came()
+        self._stop_request_timer()
 
-    def _await_request(self, seconds: float | None = None) -> None:
+    def _start_request_timer(self, seconds: float | None = None) -> None:
         if self.timer is None and not self.closing:
             wait = REQUEST_TIMEOUT if seconds is None else seconds
-            self.timer = asyncio.get_running_loop().call_later(wait, self._overdue)
+            self.timer = asyncio.get_running_loop().call_later(wait, self._on_request_timeout)
 
-    def _overdue(self) -> None:
-        """No error where nothing has come: a client that begins just now would take it for its answer."""
+    def _on_request_timeout(self) -> None:
+        """Answer an incomplete request with an error; close a connection without input.
+
+        The latter gets no error: a client that sends a request just now would take it for its answer.
+        """
         self.timer = None
-        if self.unread:
+        if self.unparsed:
             self.fail("no whole request in time")
         elif self.close_between_requests():
             self.server.closed_unused_count += 1
         else:
-            self._await_request(LOOK_AGAIN)  # something has just come: its time is up all the same
+            self._start_request_timer(RECHECK_DELAY)  # input has just arrived, but the timeout stays expired
 
-    def _request_came(self) -> None:
+    def _stop_request_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    # A client that reads nothing must not fill our memory with answers: stop reading its commands.
+    # Backpressure: stop reading commands from a client that does not read its answers, to bound memory.
     def pause_writing(self) -> None:
         if self.transport is not None:
             self.transport.pause_reading()
@@ -209,87 +214,96 @@
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        for start in range(0, len(data), SLICE):
+        for start in range(0, len(data), PARSE_CHUNK_BYTES):
             if self.closing:
-                return  # shut out: what it still sends is read and thrown away
-            self.more = start + SLICE < len(data)
-            self._take(data[start : start + SLICE])
+                return  # further input is discarded
+            self.has_more_chunks = start + PARSE_CHUNK_BYTES < len(data)
+            self._parse_chunk(data[start : start + PARSE_CHUNK_BYTES])
         if self.server.draining and not self.closing:
             self.close_between_requests()
 
-    def _take(self, piece: bytes) -> None:
-        if not self.unread and (piece[:1] != b"*" or len(piece) > 2 and piece[2:3] not in b"\r0123456789"):
+    def _parse_chunk(self, chunk: bytes) -> None:
+        if not self.unparsed and (chunk[:1] != b"*" or len(chunk) > 2 and chunk[2:3] not in b"\r0123456789"):
             self.fail("a command is an array of bulk strings")
             return
-        self.unread += piece
+        self.unparsed += chunk
         try:
-            self.reader.feed(piece)
-            while (words := self.reader.gets()) is not False:
-                self._strip(words)
-                self._command(words)
+            self.parser.feed(chunk)
+            while (arguments := self.parser.gets()) is not False:
+                self._consume_command(arguments)
+                self._dispatch(arguments)
         except (InvalidRequest, hiredis.HiredisError, MemoryError) as error:
-            self.fail(f"Protocol error: {error}")  # framing is lost: nothing behind it can be read
+            self.fail(f"Protocol error: {error}")  # framing is lost: later input cannot be parsed
             return
-        if len(self.unread) > MOST_COMMAND:
+        if len(self.unparsed) > MAX_COMMAND_BYTES:
             self.fail("command too long")
-        elif self.unread:
-            self._await_request()
-
-    def _strip(self, words: Any) -> None:
-        """Take a command off what is unread. The parser passes over the two bytes behind a bulk string,
-        whatever they are: only what the words would be written as again is their proper framing."""
-        if not isinstance(words, list) or not words or not all(isinstance(word, bytes) for word in words):
+        elif self.unparsed:
+            self._start_request_timer()
+
+    def _consume_command(self, arguments: Any) -> None:
+        """Remove a parsed command from the unparsed bytes.
+
+        The parser skips the two bytes after a bulk string without checking them, so the framing is valid only
+        if encoding the arguments again gives the same bytes.
+        """
+        if (
+            not isinstance(arguments, list)
+            or not arguments
+            or not all(isinstance(argument, bytes) for argument in arguments)
+        ):
             raise InvalidRequest("a command is an array of bulk strings")
-        framed = hiredis.pack_command(tuple(words))
-        if not self.unread.startswith(framed):
+        encoded = hiredis.pack_command(tuple(arguments))
+        if not self.unparsed.startswith(encoded):
             raise InvalidRequest("a length does not fit its string")
-        del self.unread[: len(framed)]
+        del self.unparsed[: len(encoded)]
 
-    def _command(self, words: list[bytes]) -> None:
-        self._request_came()
+    def _dispatch(self, arguments: list[bytes]) -> None:
+        self._stop_request_timer()
         self.server.touch(self)
         reply = Reply(self)
         self.replies.append(reply)
-        name = words[0].upper()
+        name = arguments[0].upper()
         try:
             if name == b"ENQUEUE":
-                self.server.handler(parse_enqueue(words), reply)
-            elif name == b"PING" and len(words) <= 2:
+                self.server.handler(parse_enqueue(arguments), reply)
+            elif name == b"PING" and len(arguments) <= 2:
                 if self.server.rejecting_clients:
                     reply.fail("drained")
                 else:
-                    reply.pong(words[1] if len(words) == 2 else None)
+                    reply.pong(arguments[1] if len(arguments) == 2 else None)
             else:
-                raise InvalidRequest(f"unknown command '{words[0][:40].decode('ascii', 'replace')}'")
-            self.rejected = 0
+                raise InvalidRequest(f"unknown command '{arguments[0][:40].decode('ascii', 'replace')}'")
+            self.invalid_requests = 0
         except InvalidRequest as error:
-            log.info("client request not understood: %s", error)
+            log.info("invalid client request: %s", error)
             reply.fail(str(error))
-            self.rejected += 1
-            if self.rejected >= MOST_REJECTED:
+            self.invalid_requests += 1
+            if self.invalid_requests >= MAX_CONSECUTIVE_INVALID_REQUESTS:
                 self.fail("nothing but requests that make no sense")
 
     def send_ready(self) -> None:
-        """Write the answers that are due, in the order of their requests."""
+        """Write the answers that are ready, in the order of their requests."""
         ready = []
         while self.replies and self.replies[0].data is not None:
             ready.append(self.replies.popleft().data or b"")
-        if ready and self.transport is not None and not self.lost:
+        if ready and self.transport is not None and not self.disconnected:
             self.transport.write(b"".join(ready))
             self.answered_at = asyncio.get_running_loop().time()
         if self.closing and not self.replies:
-            self._linger()
+            self._lingering_close()
         elif self.server.draining and not self.closing:
             self.close_between_requests()
 
     def fail(self, text: str, busy: bool = False) -> None:
-        """An error, and a close: for what can't be read any further. What is owed before it is answered
-        first: nothing can be written once our side has ended."""
+        """Answer with an error and close, for input that cannot be parsed any further.
+
+        Answers to earlier requests are written first: nothing can be written after the half-close.
+        """
         if not self.closing:
             log.info("client connection closed: %s", text)
             self.closing = True
-            self.unread.clear()
-            self._request_came()
+            self.unparsed.clear()
+            self._stop_request_timer()
             reply = Reply(self)
             self.replies.append(reply)
             if busy:
@@ -297,218 +311,243 @@
             else:
                 reply.fail(text)
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
-    def _linger(self) -> None:
-        """End our side only. A close with its bytes unread would be a reset, and that takes back the error
-        that we have just written. The transport itself waits for what is not written yet."""
+    def _lingering_close(self) -> None:
+        """Half-close, then close after a delay.
+
+        A close with unread input sends a reset, which discards the error just written. The transport itself
+        flushes pending writes first.
+        """
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        _end_sending(transport)
-        asyncio.get_running_loop().call_later(LINGER, transport.abort)
+        _half_close(transport)
+        asyncio.get_running_loop().call_later(LINGER_TIMEOUT, transport.abort)
 
     def close_between_requests(self) -> bool:
-        """Close, and say so, unless an answer is owed or a request has come, in part or unread: closing
-        then would lose a message. What is unread is answered first, and the close comes right behind it."""
+        """Close the connection if it is between requests; return whether it was closed.
+
+        Does nothing while an answer is outstanding or a request has arrived, even in part or unread: a close
+        would lose a message. Such input is answered first, and the connection is closed right after.
+        """
         transport = self.transport
-        if self.closing or self.replies or self.unread or self.more:
+        if self.closing or self.replies or self.unparsed or self.has_more_chunks:
             return False
         if transport is None or transport.is_closing():
             return False
-        if has_unread(transport, unknown=True):
+        if has_unread(transport, fallback=True):
             return False
         self.closing = True
-        self.hang_up()
+        self.close_gracefully()
         return True
 
-    def hang_up(self) -> None:
-        """End our side. A close with bytes unread is a reset, and takes back an answer just written: the rest
-        waits until that has reached its client. What still comes stays unread, and is handed in elsewhere."""
+    def close_gracefully(self) -> None:
+        """Half-close, and close once an answer just written has had time to reach the client.
+
+        A close with unread input sends a reset, which discards that answer. Input that arrives meanwhile
+        stays unread, and the client sends it to another relay.
+        """
         transport, loop = self.transport, asyncio.get_running_loop()
         if transport is None or transport.is_closing():
             return
-        if loop.time() - self.answered_at > LAST_WORD:
+        if loop.time() - self.answered_at > CLOSE_DELAY:
             transport.close()
             return
         transport.pause_reading()
-        _end_sending(transport)
-        loop.call_later(LAST_WORD, transport.abort)
+        _half_close(transport)
+        loop.call_later(CLOSE_DELAY, transport.abort)
 
 
 class Server:
-    """Listens for clients and bounds their connections."""
+    """Listens for clients and limits the number of their connections."""
 
-    def __init__(self, handler: Handler, most: int) -> None:
+    def __init__(self, handler: Handler, max_connections: int) -> None:
         self.handler = handler
-        self.max_connections = most
+        self.max_connections = max_connections
         self.buffer = new_buffer()
-        self.connections: dict[Connection, None] = {}  # longest without a request first
-        self.closed_unused_count = 0  # connections closed without a request, so far
-        self.stopped = False  # no new connections, for good
-        self.draining = False  # connections are closed as soon as each is between requests
-        self.rejecting_clients = False  # and checks hear that clients should go elsewhere
-        self.address: tuple[str, int] | None = None  # since it has begun to listen
+        self.connections: dict[Connection, None] = {}  # ordered by latest request, oldest first
+        self.closed_unused_count = 0  # connections closed without a request so far
+        self.stopped = False  # graceful shutdown: no new connections any more
+        self.draining = False  # close each connection as soon as it is between requests
+        self.rejecting_clients = False  # PING gets an error, so that clients go to another relay
+        self.address: tuple[str, int] | None = None  # set once the server listens
         self._listener: socket.socket | None = None
-        self._shared: bool = False  # it is the platform's: what we leave there is another process's
-        self._retry: asyncio.TimerHandle | None = None
-        self._coming: set[asyncio.Task[None]] = set()  # accepted, and not among the connections yet
+        # The platform owns an inherited listener: another process accepts what is left in its queue.
+        self._listener_inherited: bool = False
+        self._accept_retry_timer: asyncio.TimerHandle | None = None
+        self._setup_tasks: set[asyncio.Task[None]] = set()  # connections that are accepted but not set up yet
 
     async def start(self, host: str, port: int, inherited: socket.socket | None = None) -> tuple[str, int]:
-        """Listen, at an inherited socket where there is one; the address that came of it."""
+        """Listen, on the inherited socket if there is one, and return the address."""
         if inherited is not None:
-            self._listener, self._shared = inherited, True
+            self._listener, self._listener_inherited = inherited, True
             inherited.listen(BACKLOG)
         else:
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
             self._listener = socket.create_server((host, port), family=family, backlog=BACKLOG)
         self._listener.setblocking(False)
-        self._accept_on()
-        name = self._listener.getsockname()
-        self.address = str(name[0]), int(name[1])
+        self._start_accepting()
+        socket_name = self._listener.getsockname()
+        self.address = str(socket_name[0]), int(socket_name[1])
         return self.address
 
-    def _accept_on(self) -> None:
+    def _start_accepting(self) -> None:
         if self._listener is not None:
-            asyncio.get_running_loop().add_reader(self._listener, self._accept, ACCEPTED_AT_ONCE)
+            asyncio.get_running_loop().add_reader(
+                self._listener, self._accept_connections, MAX_ACCEPTS_PER_ITERATION
+            )
+
+    def _accept_connections(self, max_accepts: int) -> None:
+        """Accept some of the waiting connections; the event loop calls again if more wait.
 
-    def _accept(self, most: int) -> None:
-        """Take up some of those that have connected; the loop calls again where more wait. All at once, as
-        asyncio's own server takes them, a burst leaves no descriptor for anything else."""
+        Accepting all of them at once, as asyncio's own server does, would let a burst use up all descriptors.
+        """
         assert self._listener is not None
         loop = asyncio.get_running_loop()
-        for _ in range(most):
+        for _ in range(max_accepts):
             try:
                 accepted, _address = self._listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as error:  # the listener stays readable: looking again at once is a busy loop
-                log.warning("no connection can be accepted: %s", error.strerror)
+            except OSError as error:  # the listener stays readable: an immediate retry would be a busy loop
+                log.warning("cannot accept connections: %s", error.strerror)
                 loop.remove_reader(self._listener)
-                self._retry = loop.call_later(ACCEPT_AGAIN, self._accept_on)
+                self._accept_retry_timer = loop.call_later(ACCEPT_RETRY_DELAY, self._start_accepting)
                 return
-            self._begin(accepted)
+            self._start_connection(accepted)
 
-    def _begin(self, accepted: socket.socket) -> None:
+    def _start_connection(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
-        task = asyncio.get_running_loop().create_task(self._take_up(accepted))
-        self._coming.add(task)
-        task.add_done_callback(self._coming.discard)
+        task = asyncio.get_running_loop().create_task(self._set_up_connection(accepted))
+        self._setup_tasks.add(task)
+        task.add_done_callback(self._setup_tasks.discard)
 
-    async def _take_up(self, accepted: socket.socket) -> None:
-        # Without the protocol's number the loop leaves this option alone; where it sets it, an error costs
-        # the connection.
+    async def _set_up_connection(self, accepted: socket.socket) -> None:
+        # With protocol number 0 the event loop does not set TCP_NODELAY itself; if it did, an error would
+        # cost the connection.
         accepted = socket.socket(accepted.family, accepted.type, 0, fileno=accepted.detach())
-        with contextlib.suppress(OSError):  # the connection is good without
+        with contextlib.suppress(OSError):  # the connection works without it
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: Connection(self), accepted)
         except OSError as error:
-            log.warning("a connection cannot be taken up: %s", error.strerror)
+            log.warning("cannot set up an accepted connection: %s", error.strerror)
             accepted.close()
 
     def _stop_listening(self) -> None:
-        """Who has connected already is served: a close would reset what they have sent. At the platform's
-        socket they wait for another process."""
+        """Stop listening.
+
+        Accepts the connections that still wait, as a close would reset what they have sent. Those on
+        an inherited socket are left to another process.
+        """
         if self._listener is None:
             return
-        if self._retry is not None:
-            self._retry.cancel()
+        if self._accept_retry_timer is not None:
+            self._accept_retry_timer.cancel()
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._listener)
-        if not self._shared and not self._accept_all():
-            self._retry = loop.call_later(ACCEPT_LAST, self._stop_listening)
+        if not self._listener_inherited and not self._accept_remaining():
+            self._accept_retry_timer = loop.call_later(FINAL_ACCEPT_RETRY_DELAY, self._stop_listening)
             return
         self._listener.close()
         self._listener = None
 
-    def _accept_all(self) -> bool:
-        """Take up all that have connected. Whether nobody waits any more, as far as the kernel says so."""
+    def _accept_remaining(self) -> bool:
+        """Accept all waiting connections; return whether the kernel reports that none is left."""
         assert self._listener is not None
         for _ in range(2 * BACKLOG):
             try:
                 accepted, _address = self._listener.accept()
             except BlockingIOError:
                 return True
-            except OSError as error:  # most tell of one connection alone: the next may be well
-                if error.errno in NO_RESOURCES:
+            except OSError as error:  # most errors concern one connection only: the next may succeed
+                if error.errno in OUT_OF_RESOURCES_ERRORS:
                     return False
             else:
-                self._begin(accepted)
+                self._start_connection(accepted)
         return False
 
     def touch(self, connection: Connection) -> None:
-        """A request has come on a connection: it is the last that would go."""
-        connection.quiet_from = asyncio.get_running_loop().time()
+        """Record a request: the connection becomes the last one to be closed for room."""
+        connection.last_request_at = asyncio.get_running_loop().time()
         if self.connections.pop(connection, self) is None:
             self.connections[connection] = None
 
     def make_room(self) -> bool:
-        """Whether one more connection fits; one that has long been without a request makes way for it."""
+        """Return whether one more connection fits, after closing one that is long idle if necessary."""
         if len(self.connections) < self.max_connections:
             return True
-        quiet = asyncio.get_running_loop().time() - IDLE_TIMEOUT
+        idle_cutoff = asyncio.get_running_loop().time() - IDLE_TIMEOUT
         for connection in self.connections:
-            if connection.quiet_from > quiet:
+            if connection.last_request_at > idle_cutoff:
                 return False
             if connection.close_between_requests():
                 return True
         return False
 
     def start_draining(self) -> None:
-        """Operators drain this relay: it listens on, as checks must hear so; clients are to go elsewhere."""
+        """Start a drain by operators: clients are to go elsewhere.
+
+        The server keeps listening, so that checks can report the drain.
+        """
         self.rejecting_clients = True
-        self._close_open()
+        self._close_connections()
 
     def resume(self) -> None:
-        """The end of that, unless the planned end has begun meanwhile."""
+        """End the drain by operators, unless a graceful shutdown has begun."""
         self.rejecting_clients = False
         self.draining = self.stopped
 
     def stop(self) -> None:
-        """The planned end: no new connection, and the open ones close as soon as each is between requests."""
+        """Begin a graceful shutdown: accept no connections, and close each open one between requests."""
         self.stopped = True
         self._stop_listening()
-        self._close_open()
+        self._close_connections()
 
     @property
     def is_quiescent(self) -> bool:
-        """Whether nobody is owed an answer or about to ask: the process may end."""
-        lately = asyncio.get_running_loop().time() - FIRST_REQUEST
+        """Whether no answer is outstanding and no request is expected, so that the process may end."""
+        recent_cutoff = asyncio.get_running_loop().time() - RECENT_ACTIVITY_WINDOW
         return (
             self._listener is None
-            and not self._coming
+            and not self._setup_tasks
             and not any(
-                not connection.lost
+                not connection.disconnected
                 and not connection.closing
-                and (connection.replies or connection.unread or connection.quiet_from > lately)
+                and (connection.replies or connection.unparsed or connection.last_request_at > recent_cutoff)
                 for connection in self.connections
             )
         )
 
     def close_unused_connections(self) -> None:
-        """Where the process ends beside another one, the descriptors of both count: whoever has connected
-        and asked nothing by now makes way."""
-        lately = asyncio.get_running_loop().time() - FIRST_REQUEST
+        """Close connections without a recent request.
+
+        While this process ends and its successor runs, the descriptors of both count.
+        """
+        recent_cutoff = asyncio.get_running_loop().time() - RECENT_ACTIVITY_WINDOW
         for connection in list(self.connections):
-            if connection.quiet_from <= lately:
+            if connection.last_request_at <= recent_cutoff:
                 connection.close_between_requests()
 
     async def end(self) -> None:
-        """The process ends: what has been answered still reaches its client."""
+        """Close all connections, and wait until the answers written have reached the clients."""
         self._stop_listening()
         for connection in list(self.connections):
-            if connection.unread:  # read in part: its client writes the rest, and waits
-                connection.fail("the process ends", busy=True)
+            if connection.unparsed:  # the client sends the remainder and waits for an answer
+                connection.fail("process is stopping", busy=True)
             connection.closing = True
-            connection.hang_up()
+            connection.close_gracefully()
         if self.connections:
-            await asyncio.sleep(LAST_WORD)
+            await asyncio.sleep(CLOSE_DELAY)
+
+    def _close_connections(self) -> None:
+        """Close connections between requests.
 
-    def _close_open(self) -> None:
-        """A connection without a request yet is not closed: one is on its way, or its time is soon up."""
+        One without a first request stays open: its request is in transit or its timer expires soon.
+        """
         self.draining = True
         for connection in list(self.connections):
             if connection.timer is None:
--- a/garnetrelay/connection_pool.py
+++ b/garnetrelay/connection_pool.py
@@ -1,7 +1,8 @@
-"""Calls and probes to hosts over HTTP/1.1, and the connections they travel on.
+"""HTTP/1.1 client for calls and probes to endpoints, with keep-alive connections.
 
-A connection carries one call at a time and is used again while it is surely good. An exchange that is
-written in full and then breaks is a reset; before that it never ran. Nothing is ever sent again from here.
+A connection carries one exchange at a time and is reused only while it is known to be usable. An exchange
+whose connection breaks after the request was written in full ends as a reset; one that breaks earlier never
+ran. This module never retries a request.
 """
 
 from __future__ import annotations
@@ -27,16 +28,17 @@
 log = logging.getLogger(__name__)
 
 SECOND = 1_000_000_000
-IDLE_SHARE = 0.8  # of the host's own idle limit: a call written just as it closes would end as a reset
-MOST_HEAD = 16 * 1024
-MOST_FIRST_LINE = 200
-MOST_ANSWER = 64 * 1024  # beyond this an answer is not worth reading for its connection's sake
-# seconds, a trip there and back: so soon breaks a call on what its host had closed
+IDLE_TIMEOUT_SHARE = 0.8  # of the endpoint's idle timeout: a call written just as it closes ends as a reset
+MAX_RESPONSE_HEAD_BYTES = 16 * 1024
+MAX_STATUS_LINE_BYTES = 200
+MAX_RESPONSE_BODY_BYTES = 64 * 1024  # a longer response is not read only to reuse its connection
+# seconds, one round trip: a call on a connection that its endpoint had closed breaks within this time
 STALE_CONNECTION_WINDOW = 0.1
-DELIVERED = re.compile(rb"HTTP/\d\.\d 200(?: [^\r\n]*)?\r?\n")  # a first line that holds, whatever follows
-LEAST_LIMIT = 1e-6  # calls a second: a report of less is none, and the time for one call must stay a number
+STATUS_200_LINE = re.compile(rb"HTTP/\d\.\d 200(?: [^\r\n]*)?\r?\n")  # decides the outcome, whatever follows
+# calls a second; a lower reported limit is ignored, as the interval between calls must stay finite
+MIN_REPORTED_RATE_LIMIT = 1e-6
 LOCAL_ERRORS = frozenset(
-    {  # of connecting: our own machine's doing, which says nothing of the host
+    {  # connect errors caused by the local machine: no sign of the endpoint's health
         errno.EACCES,
         errno.EADDRINUSE,
         errno.EADDRNOTAVAIL,
@@ -51,24 +53,24 @@
         errno.EPERM,
     }
 )
-DRAIN_TIME = 0.5  # seconds for what is left of an answer whose outcome is known
+RESPONSE_DRAIN_TIMEOUT = 0.5  # seconds to receive the remainder of a response whose outcome is known
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an exchange ended."""
+    """Result of an exchange."""
 
     status: io.Status
     retry_after: int = 0
     no_slot: bool = False
     finished: bool = False
     report: io.LoadReport | None = None
-    stale: bool = False  # a reset that tells of an idle connection, not of its host
+    stale: bool = False  # a stale idle connection or a local error: no sign of the endpoint's health
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """One request in HTTP's terms."""
+    """An HTTP request."""
 
     method: str
     target: str
@@ -77,40 +79,40 @@
 
 
 class Exchange:
-    """One call or probe: ``prepare`` gives its request at the last instant, or None to abandon it."""
+    """One call or probe. ``prepare`` builds the request just before the send; None abandons the exchange."""
 
     def __init__(
         self,
-        host: str,
-        stop_at: int,
+        endpoint: str,
+        deadline: int,
         prepare: Callable[[], HttpRequest | None],
-        done: Callable[[Outcome], None],
-        written: Callable[[], None] = lambda: None,
-        told: Callable[[int], None] = lambda wait: None,
+        on_finished: Callable[[Outcome], None],
+        on_written: Callable[[], None] = lambda: None,
+        on_retry_after: Callable[[int], None] = lambda retry_after: None,
     ) -> None:
-        self.endpoint = host
-        self.deadline = stop_at
+        self.endpoint = endpoint
+        self.deadline = deadline
         self.prepare = prepare
-        self._done = done
-        self.on_written = written  # heard once, when the kernel has taken the request's last byte
-        # heard as soon as an answer's head tells a wait: it binds from when it was written
-        self.on_retry_after = told
+        self._on_finished = on_finished
+        self.on_written = on_written  # called once, when the kernel has accepted the last byte of the request
+        # Called as soon as a response head has a retry-after: it counts from when the head was written.
+        self.on_retry_after = on_retry_after
         self.ended = False
         self.connection: Connection | None = None
         self.opening: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def finish(self, outcome: Outcome) -> None:
-        """Report the outcome, once."""
+        """Report the outcome; later calls do nothing."""
         if self.ended:
             return
         self.ended = True
         if self.timer is not None:
             self.timer.cancel()
-        self._done(outcome)
+        self._on_finished(outcome)
 
     def give_up(self, status: io.Status) -> None:
-        """Stop waiting: the connection closes with it. What was not written in full never ran."""
+        """Stop waiting and close the connection. A request that was not written in full never ran."""
         if self.ended:
             return
         connection = self.connection
@@ -119,44 +121,46 @@
                 self.opening.cancel()
             self.finish(Outcome(io.Status.CONNECT_FAILED))
             return
-        outcome = connection.settled or Outcome(status if connection.whole else io.Status.CONNECT_FAILED)
+        outcome = connection.known_outcome or Outcome(
+            status if connection.request_written else io.Status.CONNECT_FAILED
+        )
         connection.abort()
         if outcome.status is io.Status.TIMEOUT:
-            # A machine that vanished keeps its connections open and silent, and resets them once it is back:
-            # an unsafe message written to one of them would die of that.
+            # Connections to a machine that disappeared stay open without a response and are reset once it is
+            # back: an unsafe message that was written to one of them would fail.
             connection.pool.close_idle_connections(self.endpoint)
         self.finish(outcome)
 
 
 def parse_report(text: str) -> io.LoadReport | None:
-    """The report in a load header or a probe's body; None where there is none or it can't be read."""
+    """Parse a load report from a header or a probe's response body; None if it is missing or malformed."""
     values: dict[str, float] = {}
-    for part in text.strip().split(","):
-        name, _, value = part.partition("=")
+    for field in text.strip().split(","):
+        name, _, value = field.partition("=")
         try:
             values[name.strip()] = float(value)
         except ValueError:
             return None
-    left, limit = values.get("x0"), values.get("x1")
-    if left is None and limit is None or not all(math.isfinite(v) and v >= 0 for v in values.values()):
+    remaining, limit = values.get("x0"), values.get("x1")
+    if remaining is None and limit is None or not all(math.isfinite(v) and v >= 0 for v in values.values()):
         return None
-    if limit is not None and 0 < limit < LEAST_LIMIT:
+    if limit is not None and 0 < limit < MIN_REPORTED_RATE_LIMIT:
         return None
-    return io.LoadReport(remaining=left or 0.0, limit=limit or 0.0)
+    return io.LoadReport(remaining=remaining or 0.0, limit=limit or 0.0)
 
 
 def read_outcome(status: int, headers: list[tuple[bytes, bytes]]) -> Outcome:
-    """What an answer's first line and headers say of a call."""
+    """Return the outcome that a response's status and headers stand for."""
     values = {name.lower(): value.decode("latin-1").strip() for name, value in headers}
     report = parse_report(values[b"x-server-load"]) if b"x-server-load" in values else None
     match status:
         case 200:
             return Outcome(io.Status.OK, finished=True, report=report)
         case 429:
-            told = values.get(b"x-backoff-ms", "")
-            if not told.isascii() or not told.isdigit() or len(told) > 9:
-                return Outcome(io.Status.ERROR, report=report)  # unreadable as the protocol words it
-            return Outcome(io.Status.FULL, retry_after=int(told) * 1_000_000, report=report)
+            retry_after_ms = values.get(b"x-backoff-ms", "")
+            if not retry_after_ms.isascii() or not retry_after_ms.isdigit() or len(retry_after_ms) > 9:
+                return Outcome(io.Status.ERROR, report=report)  # malformed X-Backoff-Ms
+            return Outcome(io.Status.FULL, retry_after=int(retry_after_ms) * 1_000_000, report=report)
         case 503 if values.get(b"x-egress-full") == "1":
             return Outcome(io.Status.MOOT, no_slot=True, report=report)
         case 503:
@@ -165,93 +169,107 @@
             return Outcome(io.Status.MOOT, report=report)
         case 410:
             return Outcome(io.Status.MOOT, finished=True, report=report)
-    return Outcome(io.Status.ERROR, report=report)  # 500, and whatever else: it may have run
+    return Outcome(io.Status.ERROR, report=report)  # 500 or any other status: the call may have run
 
 
 class Connection(BufferedReader):
-    """One connection to a host: carries an exchange, stands idle, or is gone."""
+    """A connection to an endpoint: carrying an exchange, idle or closed."""
 
-    def __init__(self, pool: ConnectionPool, host: str, address: Address) -> None:
+    def __init__(self, pool: ConnectionPool, endpoint: str, address: Address) -> None:
         self.pool = pool
         self.buffer = pool.buffer
-        self.endpoint = host
+        self.endpoint = endpoint
         self.address = address
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEAD_BYTES)
         self.exchange: Exchange | None = None
-        self.outcome: Outcome | None = None  # of the answer whose body is still coming
-        self.received = 0
-        self.head = b""  # the answer's first bytes
+        self.outcome: Outcome | None = None  # of a response whose body is incomplete
+        self.received_bytes = 0
+        self.head = b""  # the first bytes of the response
         self.body = b""
-        self.calls = 0
+        self.exchange_count = 0
         self.written_at = 0.0
-        self.lost_locally = False  # by an error of our own machine
-        self.whole: bool = False  # the kernel has taken the last byte of what was asked last
+        self.lost_by_local_error = False  # closed by an error of the local machine
+        self.request_written: bool = False  # the kernel has accepted the last byte of the latest request
         self.transport: asyncio.Transport | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # pause_writing: not whole yet; resume_writing: whole now
+        transport.set_write_buffer_limits(high=0)  # resume_writing is called once all is written
         self.pool.open.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.lost_locally = isinstance(error, OSError) and error.errno in LOCAL_ERRORS
+        self.lost_by_local_error = isinstance(error, OSError) and error.errno in LOCAL_ERRORS
         self.pool.discard(self)
         if self.timer is not None:
             self.timer.cancel()
         if self.exchange is not None:
-            self._finish(self._broken(), keep=False)
+            self._finish(self._incomplete_response_outcome(), keep=False)
+
+    def _incomplete_response_outcome(self) -> Outcome:
+        """Return the outcome of a call whose response is incomplete or malformed.
 
-    def _broken(self) -> Outcome:
-        """The outcome of a call whose answer did not come whole, or can't be read. Broken at once and without
-        a byte, where an earlier call was answered: the host had closed the connection while it stood idle.
-        Neither that nor an error of our own machine says anything of the host."""
+        A reused connection that breaks at once without a byte had been closed by the endpoint while it was
+        idle. Neither that nor an error of the local machine is a sign of the endpoint's health.
+        """
         waited = asyncio.get_running_loop().time() - self.written_at
-        stale = self.lost_locally or self.calls > 1 and not self.received and waited < STALE_CONNECTION_WINDOW
-        status = io.Status.RESET if self.whole else io.Status.CONNECT_FAILED  # a call in part never ran
-        return self.settled or Outcome(status, stale=stale)
+        stale = (
+            self.lost_by_local_error
+            or self.exchange_count > 1
+            and not self.received_bytes
+            and waited < STALE_CONNECTION_WINDOW
+        )
+        # A partial request never ran.
+        status = io.Status.RESET if self.request_written else io.Status.CONNECT_FAILED
+        return self.known_outcome or Outcome(status, stale=stale)
 
     @property
-    def settled(self) -> Outcome | None:
-        """The outcome, where what has come of the answer decides it: a first line with 200 alone does. Any
-        other answer that does not come whole can't be read, and its call may have run."""
+    def known_outcome(self) -> Outcome | None:
+        """The outcome if the bytes received so far decide it, else None.
+
+        Only a status line with 200 does. Any other incomplete response is unusable: its call may have run.
+        """
         if self.outcome is not None:
             return self.outcome if self.outcome.status is io.Status.OK else None
-        return Outcome(io.Status.OK, finished=True) if DELIVERED.match(self.head) else None
+        return Outcome(io.Status.OK, finished=True) if STATUS_200_LINE.match(self.head) else None
 
     def eof_received(self) -> bool:
-        # An answer without a length ends with its connection.
+        # A response without a length ends when the connection closes.
         self.data_received(b"")
         return False
 
-    def is_usable(self, unknown: bool) -> bool:
-        """Idle, and nothing (an end, above all) has come on it since: a look at the socket itself, as what
-        lies there may not have reached us yet, and a call written behind it would end as a reset.
-        ``unknown`` where the kernel cannot say just now."""
+    def is_usable(self, fallback: bool) -> bool:
+        """Return whether the connection is open and has no unread input, EOF included.
+
+        Polls the socket itself, as the event loop may not have read the input yet, and a call written after
+        it would end as a reset. Returns ``fallback`` if the socket cannot be polled.
+        """
         if self.transport is None or self.transport.is_closing():
             return False
-        return not has_unread(self.transport, not unknown)
+        return not has_unread(self.transport, not fallback)
 
     def resume_writing(self) -> None:
-        self.whole = True
+        self.request_written = True
         if self.exchange is not None:
             self.exchange.on_written()
 
-    def start(self, exchange: Exchange, ask: HttpRequest) -> None:
-        """Write the request."""
+    def start(self, exchange: Exchange, request: HttpRequest) -> None:
+        """Write ``request`` and wait for its response."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         self.exchange, exchange.connection = exchange, self
-        self.outcome, self.received, self.head, self.body = None, 0, b"", b""
-        self.calls += 1
-        self.whole = False
+        self.outcome, self.received_bytes, self.head, self.body = None, 0, b"", b""
+        self.exchange_count += 1
+        self.request_written = False
         self.written_at = asyncio.get_running_loop().time()
-        headers = [("Host", str(self.address)), *ask.headers]
-        data = self.http.send(h11.Request(method=ask.method, target=ask.target, headers=headers)) or b""
-        if ask.body:
-            data += self.http.send(h11.Data(data=ask.body)) or b""
+        headers = [("Host", str(self.address)), *request.headers]
+        data = (
+            self.http.send(h11.Request(method=request.method, target=request.target, headers=headers)) or b""
+        )
+        if request.body:
+            data += self.http.send(h11.Data(data=request.body)) or b""
         data += self.http.send(h11.EndOfMessage()) or b""
         assert self.transport is not None
         self.transport.write(data)
@@ -260,18 +278,21 @@
 
     def data_received(self, data: bytes) -> None:
         if self.exchange is None:
-            self.abort()  # nothing was asked: whatever this is, the next answer could not be told from it
+            self.abort()  # input without a request: it could be taken for the next response
             return
-        self.received += len(data)
-        self.head = (self.head + data)[:MOST_FIRST_LINE]
+        self.received_bytes += len(data)
+        self.head = (self.head + data)[:MAX_STATUS_LINE_BYTES]
         try:
             self.http.receive_data(data)
             self._read_events()
         except h11.RemoteProtocolError as error:
-            log.debug("host %s: answer can't be read: %s", self.endpoint, error)
-            self._finish(self._broken(), keep=False)
-        if self.exchange is not None and self.received > MOST_ANSWER + MOST_HEAD:
-            self._finish(self._broken(), keep=False)
+            log.debug("endpoint %s: malformed response: %s", self.endpoint, error)
+            self._finish(self._incomplete_response_outcome(), keep=False)
+        if (
+            self.exchange is not None
+            and self.received_bytes > MAX_RESPONSE_BODY_BYTES + MAX_RESPONSE_HEAD_BYTES
+        ):
+            self._finish(self._incomplete_response_outcome(), keep=False)
 
     def _read_events(self) -> None:
         while self.exchange is not None:
@@ -280,30 +301,32 @@
                 case h11.Response():
                     self.outcome = read_outcome(event.status_code, list(event.headers))
                     if self.outcome.status is io.Status.ERROR and event.status_code != 500:
-                        log.info("host %s: answered %d, taken for an error", self.endpoint, event.status_code)
+                        log.info(
+                            "endpoint %s: answered %d, taken for an error", self.endpoint, event.status_code
+                        )
                     if self.outcome.retry_after:
                         self.exchange.on_retry_after(self.outcome.retry_after)
                     if self.outcome.status is io.Status.OK:
-                        # The first line settles it. The connection stays busy until the rest has come.
+                        # The status line decides it. The connection stays busy until the body is complete.
                         self.exchange.finish(self.outcome)
-                        self._expect_rest()
+                        self._start_drain_timer()
                 case h11.Data():
                     self.body += bytes(event.data)
                 case h11.EndOfMessage():
-                    self._answer_complete()
+                    self._on_response_complete()
                 case h11.InformationalResponse():
-                    self.head = self.http.trailing_data[0][:MOST_FIRST_LINE]
+                    self.head = self.http.trailing_data[0][:MAX_STATUS_LINE_BYTES]
                 case h11.ConnectionClosed():
-                    self._finish(self._broken(), keep=False)
+                    self._finish(self._incomplete_response_outcome(), keep=False)
                 case _:
-                    return  # more has to come
+                    return  # more input is needed
 
-    def _expect_rest(self) -> None:
-        self.timer = asyncio.get_running_loop().call_later(DRAIN_TIME, self.abort)
+    def _start_drain_timer(self) -> None:
+        self.timer = asyncio.get_running_loop().call_later(RESPONSE_DRAIN_TIMEOUT, self.abort)
 
-    def _answer_complete(self) -> None:
+    def _on_response_complete(self) -> None:
         keep = (
-            self.whole
+            self.request_written
             and self.http.our_state is h11.DONE
             and self.http.their_state is h11.DONE
             and not self.http.trailing_data[0]
@@ -332,17 +355,17 @@
             self.abort()
         if exchange is not None:
             if not keep and outcome.status in (io.Status.RESET, io.Status.TIMEOUT):
-                # A host that broke one connection has likely lost the others too.
+                # An endpoint that broke one connection has likely lost the others too.
                 self.pool.close_idle_connections(self.endpoint)
             exchange.finish(outcome)
 
-    def shut(self) -> None:
+    def shut_down_socket(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            with contextlib.suppress(OSError):  # the host was first
+            with contextlib.suppress(OSError):  # already closed by the endpoint
                 self.transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
     def abort(self) -> None:
-        """Close at once: the host takes this for a call given up."""
+        """Close at once: the endpoint takes this for a cancelled call."""
         self.pool.discard(self)
         self.exchange = None
         if self.transport is not None:
@@ -350,48 +373,51 @@
 
 
 class ConnectionPool:
-    """The connections to all hosts, and the exchanges on them."""
-
-    def __init__(self, settings: io.Settings, most_open: int) -> None:
-        self.connect_time = settings.limits.connect_timeout / SECOND or 1.0
-        # A host's table is shared by all relays: together they leave idle what one alone might.
-        self.idle_time = (
-            min(IDLE_SHARE, 1 / settings.relays) * settings.limits.connection_idle_timeout / SECOND
+    """The connections to all endpoints and the exchanges on them."""
+
+    def __init__(self, settings: io.Settings, max_connections: int) -> None:
+        self.connect_timeout_seconds = settings.limits.connect_timeout / SECOND or 1.0
+        # All relays share an endpoint's connection table: with idle times divided by their number they keep
+        # together as many idle connections as one relay alone may.
+        self.idle_timeout_seconds = (
+            min(IDLE_TIMEOUT_SHARE, 1 / settings.relays) * settings.limits.connection_idle_timeout / SECOND
         )
-        self.max_connections = most_open
+        self.max_connections = max_connections
         self.buffer = new_buffer()
         self.addresses: dict[str, Address] = {}
         self.endpoint_started_at: dict[str, int] = {}
         self.open: set[Connection] = set()
         self.idle: dict[str, deque[Connection]] = {}
         self.opening: set[asyncio.Task[None]] = set()
-        self.cannot_connect = False  # the latest connection failed by our own machine's doing
+        self.local_connect_error = False  # the latest connect failed by an error of the local machine
 
-    def update_endpoint(self, host: str, address: Address, draining: bool, started: int) -> None:
-        """Where a host listens now; connections to elsewhere, to one that drains, or to a process that has
-        ended since, are not kept."""
+    def update_endpoint(self, endpoint: str, address: Address, draining: bool, started: int) -> None:
+        """Set an endpoint's address and the start time of its process.
+
+        Closes idle connections to a draining endpoint, to a former address or to a process that has ended.
+        """
         if (
             draining
-            or self.addresses.get(host, address) != address
-            or self.endpoint_started_at.get(host, started) != started
+            or self.addresses.get(endpoint, address) != address
+            or self.endpoint_started_at.get(endpoint, started) != started
         ):
-            self.close_idle_connections(host)
-        self.addresses[host], self.endpoint_started_at[host] = address, started
+            self.close_idle_connections(endpoint)
+        self.addresses[endpoint], self.endpoint_started_at[endpoint] = address, started
 
-    def remove_endpoint(self, host: str) -> None:
-        self.addresses.pop(host, None)
-        self.endpoint_started_at.pop(host, None)
-        self.close_idle_connections(host)
+    def remove_endpoint(self, endpoint: str) -> None:
+        self.addresses.pop(endpoint, None)
+        self.endpoint_started_at.pop(endpoint, None)
+        self.close_idle_connections(endpoint)
 
     def start(self, exchange: Exchange) -> None:
-        """Start a call or a probe, on an idle connection where there is a good one."""
+        """Start a call or a probe, on a usable idle connection if there is one."""
         loop = asyncio.get_running_loop()
         exchange.timer = loop.call_at(exchange.deadline / SECOND, exchange.give_up, io.Status.TIMEOUT)
         idle = self.idle.get(exchange.endpoint)
         while idle:
-            connection = idle.pop()  # the latest used: the others may age and go
-            if connection.is_usable(unknown=False):
-                self._go(connection, exchange)
+            connection = idle.pop()  # the most recently used: the others may reach their idle timeout
+            if connection.is_usable(fallback=False):
+                self._send_request(connection, exchange)
                 return
             connection.abort()
         address = self.addresses.get(exchange.endpoint)
@@ -402,85 +428,86 @@
             self._close_oldest_idle()
         exchange.opening = task = loop.create_task(self._connect(exchange, address))
         self.opening.add(task)
-        task.add_done_callback(self._opened)
+        task.add_done_callback(self._on_connect_task_done)
 
     async def _connect(self, exchange: Exchange, address: Address) -> None:
         try:
-            async with asyncio.timeout(self.connect_time):
+            async with asyncio.timeout(self.connect_timeout_seconds):
                 try:
-                    connection = await self._open(exchange.endpoint, address)
+                    connection = await self._open_connection(exchange.endpoint, address)
                 except ConnectionResetError:
-                    # It was taken up, then broke, with nothing of the call sent: a host that is down refuses.
-                    connection = await self._open(exchange.endpoint, address)
+                    # Reset after it was accepted and before any byte of the call was sent: an endpoint that
+                    # is down refuses connections.
+                    connection = await self._open_connection(exchange.endpoint, address)
         except (OSError, TimeoutError) as error:
             if error.errno in LOCAL_ERRORS:
-                self._cannot_connect(error)
+                self._on_local_connect_error(error)
                 exchange.finish(Outcome(io.Status.ABANDONED))
                 return
             log.info(
-                "host %s: no connection, %d open: %s",
+                "endpoint %s: connect failed, %d connections open: %s",
                 exchange.endpoint,
-                sum(one.endpoint == exchange.endpoint for one in self.open),
+                sum(open_connection.endpoint == exchange.endpoint for open_connection in self.open),
                 str(error) or type(error).__name__,
             )
             exchange.finish(Outcome(io.Status.CONNECT_FAILED))
             return
-        self._can_connect()
+        self._on_connected()
         if exchange.ended:
             self.return_to_pool(connection)
-        elif self.addresses.get(exchange.endpoint) != address:  # it has moved: here may be another
+        elif self.addresses.get(exchange.endpoint) != address:  # moved: another one may listen here
             connection.abort()
             exchange.finish(Outcome(io.Status.ABANDONED))
         else:
-            self._go(connection, exchange)
+            self._send_request(connection, exchange)
 
-    def _cannot_connect(self, error: OSError) -> None:
-        """Said once, not for each call."""
-        if not self.cannot_connect:
-            log.warning("this machine cannot open connections: %s", error.strerror or error)
-        self.cannot_connect = True
+    def _on_local_connect_error(self, error: OSError) -> None:
+        """Log the first of a series of local errors, not one for each call."""
+        if not self.local_connect_error:
+            log.warning("cannot open connections, local error: %s", error.strerror or error)
+        self.local_connect_error = True
 
-    def _can_connect(self) -> None:
-        if self.cannot_connect:
-            log.info("this machine can open connections again")
-        self.cannot_connect = False
+    def _on_connected(self) -> None:
+        if self.local_connect_error:
+            log.info("connections can be opened again")
+        self.local_connect_error = False
 
-    async def _open(self, host: str, address: Address) -> Connection:
+    async def _open_connection(self, endpoint: str, address: Address) -> Connection:
         _, connection = await asyncio.get_running_loop().create_connection(
-            lambda: Connection(self, host, address), address.host, address.port
+            lambda: Connection(self, endpoint, address), address.host, address.port
         )
-        if not connection.is_usable(unknown=True):
-            connection.abort()  # it broke before we came to run: a call written now would have no outcome
-            raise ConnectionResetError("broken as it came up")
+        if not connection.is_usable(fallback=True):
+            connection.abort()  # broken before this task resumed: a call written now would get no outcome
+            raise ConnectionResetError("connection reset right after it was accepted")
         return connection
 
-    def _opened(self, task: asyncio.Task[None]) -> None:
+    def _on_connect_task_done(self, task: asyncio.Task[None]) -> None:
         self.opening.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("opening a connection failed", exc_info=error)
 
-    def _go(self, connection: Connection, exchange: Exchange) -> None:
-        ask = exchange.prepare()
-        if ask is None:
+    def _send_request(self, connection: Connection, exchange: Exchange) -> None:
+        request = exchange.prepare()
+        if request is None:
             self.return_to_pool(connection)
             exchange.finish(Outcome(io.Status.ABANDONED))
             return
-        connection.start(exchange, ask)
+        connection.start(exchange, request)
 
     def return_to_pool(self, connection: Connection) -> None:
-        """Keep a connection for the next call, or not."""
+        """Keep a connection open for the next call, or close it if it cannot be reused."""
         if (
             connection.transport is None
             or connection.transport.is_closing()
             or self.addresses.get(connection.endpoint) != connection.address
-            or self.idle_time <= 0
+            or self.idle_timeout_seconds <= 0
         ):
             connection.abort()
             return
         if connection.timer is not None:
-            connection.timer.cancel()  # of an earlier rest: it would cut off a later call
+            connection.timer.cancel()  # an earlier idle timer would abort a later call
         self.idle.setdefault(connection.endpoint, deque()).append(connection)
-        connection.timer = asyncio.get_running_loop().call_later(self.idle_time, connection.abort)
+        connection.timer = asyncio.get_running_loop().call_later(self.idle_timeout_seconds, connection.abort)
 
     def discard(self, connection: Connection) -> None:
         self.open.discard(connection)
@@ -490,21 +517,24 @@
         if idle and connection in idle:
             idle.remove(connection)
 
-    def close_idle_connections(self, host: str) -> None:
-        for connection in self.idle.pop(host, ()):
+    def close_idle_connections(self, endpoint: str) -> None:
+        for connection in self.idle.pop(endpoint, ()):
             connection.abort()
 
     def close_all_idle_connections(self) -> None:
-        for host in list(self.idle):
-            self.close_idle_connections(host)
+        for endpoint in list(self.idle):
+            self.close_idle_connections(endpoint)
 
     def close(self) -> None:
-        """Drop every connection; what was out on them has no outcome. It is given up before this returns, and
-        not in the loop's next turn: another process may send it again as soon as its journal is free."""
+        """Close every connection; calls in flight get no outcome.
+
+        The sockets are shut down before this returns, not in the next event loop iteration: another process
+        may send the same calls again as soon as the journal's lock is free.
+        """
         for task in self.opening:
             task.cancel()
         for connection in list(self.open):
-            connection.shut()
+            connection.shut_down_socket()
             connection.abort()
 
     def _close_oldest_idle(self) -> None:
@@ -514,10 +544,14 @@
                 return
 
 
-def call_request(ref: str, key: str | None, body: bytes, stop_at: int) -> HttpRequest:
-    """A message's call, as the protocol words it."""
-    left = max(1, (stop_at - time.monotonic_ns()) // 1_000_000)
-    headers = [("X-Request-ID", ref), ("X-Timeout-Ms", str(left)), ("Content-Length", str(len(body)))]
+def call_request(message_id: str, key: str | None, body: bytes, deadline: int) -> HttpRequest:
+    """Return the HTTP request for a message."""
+    time_left_ms = max(1, (deadline - time.monotonic_ns()) // 1_000_000)
+    headers = [
+        ("X-Request-ID", message_id),
+        ("X-Timeout-Ms", str(time_left_ms)),
+        ("Content-Length", str(len(body))),
+    ]
     if key is not None:
         headers.insert(1, ("Idempotency-Key", key))
     return HttpRequest("POST", "/hook", headers, body)
--- a/garnetrelay/notices.py
+++ b/garnetrelay/notices.py
@@ -1,4 +1,4 @@
-"""Notices to the platform: each end that no delivery told, said until the platform has acknowledged it."""
+"""Notices to the platform: the final end of each undelivered message, posted until it is acknowledged."""
 
 from __future__ import annotations
 
@@ -13,22 +13,25 @@
 
 log = logging.getLogger(__name__)
 
-PATH = "/v1/notices"
-# seconds for connecting and an answer: it comes at once, and a notice is late after 0.3
+NOTICES_PATH = "/v1/notices"
+# seconds to connect and get a response; the platform answers at once, and a notice is late after 0.3
 RESPONSE_TIMEOUT = 0.15
-MAX_RESPONSE_TIMEOUT = 1.2  # where that fails again and again
-AGAIN_AFTER = 0.1  # seconds between a failed post and the next; the first comes again at once
-MOST_BODY = 64 * 1024
+MAX_RESPONSE_TIMEOUT = 1.2  # seconds, as the timeout doubles with each failure in a row
+RETRY_DELAY = 0.1  # seconds before a retry; the first retry follows at once
+MAX_BODY_BYTES = 64 * 1024
 
 
 class Notices:
-    """Posts what is queued, oldest first, one post at a time. ``told`` hears of a notice once it is taken."""
+    """Posts queued notices in batches, oldest first, one request at a time.
 
-    def __init__(self, address: Address, told: Callable[[str], None]) -> None:
+    ``on_acknowledged`` is called with the message id of each acknowledged notice.
+    """
+
+    def __init__(self, address: Address, on_acknowledged: Callable[[str], None]) -> None:
         self.address = address
-        self.on_acknowledged = told
-        self.queue: dict[str, bytes] = {}  # by message id: a line that is not acknowledged yet
-        self.due = asyncio.Event()
+        self.on_acknowledged = on_acknowledged
+        self.queue: dict[str, bytes] = {}  # message id -> JSON line of a notice that is not acknowledged yet
+        self.pending = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
@@ -39,74 +42,74 @@
     def start(self) -> None:
         self.task = asyncio.get_running_loop().create_task(self._run())
 
-    def queue_notice(self, ref: str, result: str, wait_ms: int) -> None:
-        """Queue a notice: ``dead``, or ``bounced`` with the milliseconds after which to come again."""
-        notice: dict[str, str | int] = {"ref": ref, "result": result}
+    def queue_notice(self, message_id: str, result: str, wait_ms: int) -> None:
+        """Queue a notice: ``dead``, or ``bounced`` with the milliseconds after which to retry."""
+        notice: dict[str, str | int] = {"ref": message_id, "result": result}
         if result == "bounced" and wait_ms:
             notice["wait_ms"] = wait_ms
-        self.queue[ref] = json.dumps(notice, separators=(",", ":")).encode() + b"\n"
-        self.due.set()
+        self.queue[message_id] = json.dumps(notice, separators=(",", ":")).encode() + b"\n"
+        self.pending.set()
 
     def change_address(self, address: Address) -> None:
-        """The platform is elsewhere from now on; a post that is under way may still be answered."""
+        """Set the platform's address for later requests; one in flight may still be answered."""
         self.address = address
 
     def close(self) -> None:
         if self.task is not None:
             self.task.cancel()
-        self._hang_up()
+        self._close_connection()
 
     async def _run(self) -> None:
         while True:
-            await self.due.wait()
+            await self.pending.wait()
             try:
                 await self._post_batch()
                 self.failures = 0
             except (OSError, TimeoutError, ValueError, h11.ProtocolError) as error:
                 log.warning("%d notices wait: %s", len(self.queue), str(error) or type(error).__name__)
-                await self._failed()
-            except Exception:  # whatever it is: notices must go on, or each message is lost
+                await self._back_off()
+            except Exception:  # any error: if this task ended, every later notice would be lost
                 log.exception("%d notices wait", len(self.queue))
-                await self._failed()
+                await self._back_off()
 
-    async def _failed(self) -> None:
-        """The connection may be what is wrong: a new one is tried at once, then with pauses."""
-        self._hang_up()
+    async def _back_off(self) -> None:
+        """Close the connection, which may be at fault, and delay every retry but the first."""
+        self._close_connection()
         self.failures += 1
-        await asyncio.sleep(AGAIN_AFTER if self.failures > 1 else 0)
+        await asyncio.sleep(RETRY_DELAY if self.failures > 1 else 0)
 
     async def _post_batch(self) -> None:
-        batch = self._batch()
+        batch = self._next_batch()
         async with asyncio.timeout(min(RESPONSE_TIMEOUT * 2 ** min(self.failures, 8), MAX_RESPONSE_TIMEOUT)):
-            reader, writer = await self._connection()
+            reader, writer = await self._ensure_connection()
             status = await self._post(reader, writer, b"".join(batch.values()))
         if status != 204:
             raise ValueError(f"the platform answered {status}")
-        for ref in batch:
-            self.on_acknowledged(ref)
-            del self.queue[ref]
+        for message_id in batch:
+            self.on_acknowledged(message_id)
+            del self.queue[message_id]
         if not self.queue:
-            self.due.clear()
+            self.pending.clear()
 
-    def _batch(self) -> dict[str, bytes]:
+    def _next_batch(self) -> dict[str, bytes]:
         batch: dict[str, bytes] = {}
         size = 0
-        for ref, line in self.queue.items():
+        for message_id, line in self.queue.items():
             size += len(line)
-            if size > MOST_BODY:
+            if size > MAX_BODY_BYTES:
                 break
-            batch[ref] = line
+            batch[message_id] = line
         return batch
 
-    async def _connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """The kept connection, or a new one where the platform has closed it or has moved."""
+    async def _ensure_connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Return the open connection, or a new one if the platform closed it or changed its address."""
         if (
             self.reader is None
             or self.writer is None
             or self.reader.at_eof()
             or self.connected_to != self.address
         ):
-            self._hang_up()
+            self._close_connection()
             address = self.address
             self.reader, self.writer = await asyncio.open_connection(address.host, address.port)
             self.connected_to = address
@@ -114,9 +117,9 @@
         return self.reader, self.writer
 
     async def _post(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, body: bytes) -> int:
-        """The status of the answer, once it has come whole."""
+        """Post ``body`` and return the status of the complete response."""
         headers = [("Host", str(self.address)), ("Content-Length", str(len(body)))]
-        data = self.http.send(h11.Request(method="POST", target=PATH, headers=headers)) or b""
+        data = self.http.send(h11.Request(method="POST", target=NOTICES_PATH, headers=headers)) or b""
         data += self.http.send(h11.Data(data=body)) or b""
         writer.write(data + (self.http.send(h11.EndOfMessage()) or b""))
         status = 0
@@ -133,10 +136,10 @@
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
         else:
-            self._hang_up()
+            self._close_connection()
         return status
 
-    def _hang_up(self) -> None:
+    def _close_connection(self) -> None:
         if self.writer is not None:
             self.writer.transport.abort()
         self.reader = self.writer = None
--- a/garnetrelay/streams.py
+++ b/garnetrelay/streams.py
@@ -1,4 +1,4 @@
-"""Reading from sockets without leaving holes in memory."""
+"""Socket reads that avoid heap fragmentation."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class BufferedReader(asyncio.BufferedProtocol, ABC):
-    """A protocol that reads into a buffer that its owner's connections share: one is filled at a time.
+    """A protocol that reads into a buffer shared by all connections of its owner, one read at a time.
 
-    A plain protocol has room for 256 KiB allocated for every read and shrunk to what came. What is held for
-    a while, a message's body above all, then lies at the foot of such a piece of the heap, and the rest of
-    it is good for small things only: the heap grows for hours though no more is in use.
+    asyncio's plain protocol allocates 256 KiB for every read and shrinks the block to the bytes received.
+    Data that is kept for a while, such as a message's body, then sits at the start of such a block, and the
+    remainder fits small objects only: the heap grows for hours although no more memory is in use.
     """
 
     buffer: memoryview
@@ -27,19 +27,21 @@
 
     @abstractmethod
     def data_received(self, data: bytes) -> None:
-        """What has come."""
+        """Process the bytes received."""
 
 
 def new_buffer() -> memoryview:
     return memoryview(bytearray(READ_SIZE))
 
 
-def has_unread(transport: asyncio.Transport, unknown: bool) -> bool:
-    """Whether something (an end, above all) has come that the loop has not read yet; ``unknown`` where the
-    kernel cannot say just now."""
+def has_unread(transport: asyncio.Transport, fallback: bool) -> bool:
+    """Return whether the socket has input, EOF included, that the event loop has not read yet.
+
+    Returns ``fallback`` if the socket cannot be polled.
+    """
     poll = select.poll()
     try:
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
     except OSError:
-        return unknown
+        return fallback
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -323,7 +323,7 @@
     assert connection.transport is not None
     pings = packed("PING", "x" * 1000) * 15
     ends = (packed("PING", "y" * n) for n in range(2000))
-    pings += next(end for end in ends if len(pings + end) == clients.SLICE)
+    pings += next(end for end in ends if len(pings + end) == clients.PARSE_CHUNK_BYTES)
     connection.transport.pause_reading()
     client.writer.write(pings + packed("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", "x"))
     await client.writer.drain()
@@ -348,7 +348,7 @@
     client.writer.write(b"*5\r\n$7\r\nENQ")
     await client.writer.drain()
     connection.timer.cancel()
-    connection._overdue()
+    connection._on_request_timeout()
     connection.transport.resume_reading()
     assert await client.read() == "ERR no whole request in time"
 
@@ -393,7 +393,7 @@
     relay = field.relays[0]
     command = packed("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", "x")
     client.writer.write(command[:30])
-    await until(lambda: any(connection.unread for connection in relay.server.connections))
+    await until(lambda: any(connection.unparsed for connection in relay.server.connections))
     relay.ending = True
     end = asyncio.create_task(relay.server.end())
     await asyncio.sleep(0)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -4,7 +4,7 @@
 
 import signal
 
-from garnetrelay.clients import FIRST_REQUEST
+from garnetrelay.clients import RECENT_ACTIVITY_WINDOW
 from tests.processes import Process, free_port
 from tests.sockets import Client, Field, http
 
@@ -77,7 +77,7 @@
     oldest = list(server.connections)[0]
     server.stop()
     assert await first.read() is None
-    oldest.quiet_from -= FIRST_REQUEST
+    oldest.last_request_at -= RECENT_ACTIVITY_WINDOW
     server.close_unused_connections()
     assert await silent.read() is None
     assert await new.ask("PING") == b"PONG"
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -405,7 +405,7 @@
     client = await field.start()
     await field.warm(client)
     net = field.relays[0].connection_pool
-    assert any(net.idle.values()) and net.idle_time == 0.8
+    assert any(net.idle.values()) and net.idle_timeout_seconds == 0.8
     await until(lambda: not net.open)
     async with asyncio.timeout(20):
         for _ in range(2):
@@ -437,10 +437,10 @@
     await until(lambda: not field.relays[0].held)
     await until(lambda: any(net.idle.values()))
     idle = net.idle["s-1"][0]
-    assert idle.transport is not None and idle.is_usable(unknown=True)
+    assert idle.transport is not None and idle.is_usable(fallback=True)
     idle.transport.pause_reading()  # the loop is too busy to see it
     call.break_off()
-    await until(lambda: not idle.is_usable(unknown=True))
+    await until(lambda: not idle.is_usable(fallback=True))
     await client.enqueue("m2", "unsafe")
     second = await field.host.next_call()
     assert second.headers["x-request-id"] == "m2" and second.connection != call.connection
@@ -471,14 +471,14 @@
     """Nothing of the call was sent, and a host that is down refuses."""
     client = await field.start()
     relay = field.relays[0]
-    really_open, failures = relay.connection_pool._open, [error()]
+    really_open, failures = relay.connection_pool._open_connection, [error()]
 
     async def fails_once(host: str, address: Address) -> connection_pool.Connection:
         if failures:
             raise failures.pop()
         return await really_open(host, address)
 
-    monkeypatch.setattr(relay.connection_pool, "_open", fails_once)
+    monkeypatch.setattr(relay.connection_pool, "_open_connection", fails_once)
     await client.enqueue("m1")
     call = await field.host.next_call()
     assert relay.held["m1"].attempts == attempts
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -101,9 +101,11 @@
     answers = []
     while (answer := await client.read()) is not None:
         answers.append(answer)
-    assert len(answers) == clients.MOST_REJECTED + 1 and all(one.startswith("ERR") for one in answers)
+    assert len(answers) == clients.MAX_CONSECUTIVE_INVALID_REQUESTS + 1 and all(
+        one.startswith("ERR") for one in answers
+    )
     other = await Client.connect(client.writer.get_extra_info("peername")[1])
-    for n in range(clients.MOST_REJECTED * 2):  # now and then one may be wrong
+    for n in range(clients.MAX_CONSECUTIVE_INVALID_REQUESTS * 2):  # now and then one may be wrong
         assert (await other.ask(*words)).startswith("ERR")
         assert await other.ask("PING", str(n)) == str(n).encode()
 
@@ -159,7 +161,7 @@
 
 def test_process_is_gone_before_it_may_be_killed() -> None:
     """SIGKILL comes no sooner than 3.7 s after SIGTERM, new connections for up to 0.4 s."""
-    assert 0.4 < relay.LISTEN_ON and relay.STOP_AFTER / relay.SECOND + clients.LAST_WORD <= 3.4
+    assert 0.4 < relay.LISTEN_ON and relay.STOP_AFTER / relay.SECOND + clients.CLOSE_DELAY <= 3.4
 
 
 # ---- late connections and repeat windows
