--- a/garnetrelay/discovery.py
+++ b/garnetrelay/discovery.py
@@ -1,7 +1,7 @@
-"""The list of hosts, from discovery: one watch at a time, opened when the Pacer asks for it.
+"""The endpoint list from discovery: one watch at a time, opened when the Pacer requests it.
 
-A line may hold the whole list of a fleet, some tens of megabytes: one too long to be kept is read entry by
-entry as it comes, and each entry is staged at once in the form in which the catalog holds it.
+A line may hold the snapshot of a whole fleet, some tens of megabytes. An object too long to be buffered is
+parsed incrementally, entry by entry, and each entry is staged at once in the packed form of the catalog.
 """
 
 from __future__ import annotations
@@ -23,19 +23,22 @@
 
 log = logging.getLogger(__name__)
 
-# seconds to be taken up in; what a watch misses counts as told 6 s after it fell silent
+# seconds from connecting to the response; discovery regards a relay as informed of a change 6 s after its
+# watch fell silent
 RESPONSE_TIMEOUT = 2.0
-MAX_RESPONSE_TIMEOUT = 5.0  # where that fails again and again: discovery may work through its calls in turn
-SILENCE_TIMEOUT = 3.0  # seconds without a line, of which one comes every 2: the watch is dead
-LEAST_RATE, MOST_RATE = 1e-6, 1e9  # calls a second that may be listed; whatever else is tells nothing
-MOST_KEPT = 64 * 1024  # bytes of an object that are kept until it is whole; a longer one is read as it comes
-MOST_ENTRY = 16 * 1024  # characters of one entry
-SPACE = re.compile(r"[ \t\r\n]*")
+# seconds, after repeated failures: discovery may handle its requests one at a time
+MAX_RESPONSE_TIMEOUT = 5.0
+# seconds without a line until a watch counts as dead; discovery sends a heartbeat line every 2 s
+SILENCE_TIMEOUT = 3.0
+MIN_RATE, MAX_RATE = 1e-6, 1e9  # calls a second; a listed rate outside this range counts as unknown
+MAX_BUFFERED_BYTES = 64 * 1024  # of an object kept until it is complete; a longer one is parsed incrementally
+MAX_ENTRY_CHARACTERS = 16 * 1024  # of one entry
+WHITESPACE = re.compile(r"[ \t\r\n]*")
 EMPTY_LINE = re.compile(r"\n[ \t\r]*\n")
 
-NO_ADDRESS = Address("", 0)  # of what is gone
+NO_ADDRESS = Address("", 0)  # of a deleted endpoint
 
-STATES = {
+AVAILABILITY_BY_STATUS = {
     "Ready": io.Availability.RUNNING,
     "Terminating": io.Availability.STOPPING,
     "Gone": io.Availability.DELETED,
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """One version of the list, or the changes since the one before."""
+    """A snapshot of the endpoint list, or the delta since the previous version."""
 
     index: int
     whole: bool
@@ -52,100 +55,110 @@
 
 
 class EntryParser:
-    """Turns discovery's form into the catalog's. ``stage`` makes the place for one version's entries."""
+    """Converts list entries from discovery's form to the catalog's. ``stage`` creates the staged update that
+    receives the entries of one version."""
 
     def __init__(self, config: Config, stage: Callable[[], Staged]) -> None:
         self.zones = {name: number for number, name in enumerate(config.zone_names)}
         self.kinds = {name: number for number, name in enumerate(config.kind_names)}
-        self.most_staged = config.memory_bytes // 2
+        self.max_staged_bytes = config.memory_bytes // 2
         self.stage = stage
 
     def read(self, raw: Any) -> ListUpdate:
-        """ValueError if it can't be read: then nothing of it is taken over."""
+        """Parse a whole object. Raises ValueError if it is invalid; none of it is applied then."""
         staged = self.stage()
         try:
-            for line in raw["endpoints"]:
-                self.add(staged, line)
+            for entry in raw["endpoints"]:
+                self.add(staged, entry)
         except (KeyError, TypeError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
         return self.parse_update(raw, staged)
 
     def read_known(self, config: Config) -> ListUpdate:
-        """The list that the configuration names. ValueError if it can't be read."""
+        """Parse the endpoint list in the configuration file. Raises ValueError if it is invalid."""
         staged = self.stage()
-        facts = load_known(config, lambda line: self.add(staged, line))
-        if isinstance(facts, dict) and any(line is not None for line in facts.get("endpoints", ())):
+        fields = load_known(config, lambda entry: self.add(staged, entry))
+        if isinstance(fields, dict) and any(entry is not None for entry in fields.get("endpoints", ())):
             raise ValueError("an entry without a group or an address")
-        return self.parse_update(facts, staged)
+        return self.parse_update(fields, staged)
 
-    def parse_update(self, facts: Any, staged: Staged) -> ListUpdate:
-        """What an object says beside its entries. ValueError if it can't be read."""
+    def parse_update(self, fields: Any, staged: Staged) -> ListUpdate:
+        """Build an update from an object's fields and its staged entries. Raises ValueError if a field is
+        invalid."""
         try:
-            facts["endpoints"]  # an object without is no list
-            return ListUpdate(int(facts["index"]), bool(facts["snapshot"]), staged)
+            fields["endpoints"]  # an object without this field is not a list
+            return ListUpdate(int(fields["index"]), bool(fields["snapshot"]), staged)
         except (KeyError, TypeError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
 
-    def add(self, staged: Staged, line: Any) -> None:
-        """Stage one entry. ValueError if it can't be read."""
+    def add(self, staged: Staged, entry: Any) -> None:
+        """Stage one entry. Raises ValueError if it is invalid."""
         try:
-            if line["status"] not in STATES:
-                raise ValueError(f"unknown status {line['status']!r}")
-            availability = STATES[line["status"]]
-            gone = availability is io.Availability.DELETED
-            rate = float(line.get("weight", 1.0))
+            if entry["status"] not in AVAILABILITY_BY_STATUS:
+                raise ValueError(f"unknown status {entry['status']!r}")
+            availability = AVAILABILITY_BY_STATUS[entry["status"]]
+            is_deleted = availability is io.Availability.DELETED
+            rate = float(entry.get("weight", 1.0))
             staged.add(
                 Endpoint(
-                    name=str(line["name"]),
-                    destination=int(line["group"]),
-                    zone=self.zones[line["zone"]] if self.zones else 0,
-                    kind=self.kinds[line["type"]] if self.kinds else 0,
+                    name=str(entry["name"]),
+                    destination=int(entry["group"]),
+                    zone=self.zones[entry["zone"]] if self.zones else 0,
+                    kind=self.kinds[entry["type"]] if self.kinds else 0,
                     availability=availability,
-                    rate=rate if LEAST_RATE <= rate <= MOST_RATE else 0.0,
-                    started=0 if gone else int(line.get("since_ms", 0)),
-                    address=NO_ADDRESS if gone else Address.parse(line["address"]),
+                    rate=rate if MIN_RATE <= rate <= MAX_RATE else 0.0,
+                    started=0 if is_deleted else int(entry.get("since_ms", 0)),
+                    address=NO_ADDRESS if is_deleted else Address.parse(entry["address"]),
                 )
             )
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
-        if staged.size > self.most_staged:
-            raise ValueError(f"a list of over {self.most_staged} bytes")
+        if staged.size > self.max_staged_bytes:
+            raise ValueError(f"the endpoint list takes over {self.max_staged_bytes} bytes")
 
 
 class Discovery:
-    """Watches the list. ``on_update`` gets what comes, None when the watch ended or never came about."""
+    """Watches the endpoint list. Calls ``on_update`` with each update, and with None when a watch has ended
+    or could not be opened."""
 
     def __init__(
-        self, address: Address, reader: EntryParser, index: int, on_news: Callable[[ListUpdate | None], None]
+        self,
+        address: Address,
+        parser: EntryParser,
+        index: int,
+        callback: Callable[[ListUpdate | None], None],
     ) -> None:
         self.address = address
-        self.reader = reader
+        self.parser = parser
         self.index = index
-        self.on_update = on_news
-        self.failures = 0  # in a row: watches that were not taken up
-        self.whole: bool = False  # ask for the whole list next: some of what came could not be read
-        self.kept: bool = False  # the version is one that the disk kept: discovery may not go on from there
+        self.on_update = callback
+        self.failures = 0  # watches in a row that got no response
+        # request a snapshot next, as some of the received data could not be parsed
+        self.needs_snapshot: bool = False
+        # the version comes from the list on disk: discovery may be unable to continue from it
+        self.kept: bool = False
         self.task: asyncio.Task[None] | None = None
 
     def subscribe(self) -> None:
-        """Open a watch, unless one is open or on its way."""
+        """Open a watch, unless one is open or being opened."""
         if self.task is None:
             self.task = asyncio.get_running_loop().create_task(self._watch())
-            self.task.add_done_callback(self._ended)
+            self.task.add_done_callback(self._on_watch_ended)
 
     def close(self) -> None:
+        """Stop the watch."""
         if self.task is not None:
             self.task.cancel()
 
     def change_address(self, address: Address) -> None:
-        """Discovery is elsewhere from now on: go on from there with what we have."""
+        """Reconnect to discovery at another address and continue from the current version."""
         self.address = address
         self.failures = 0
         self.close()
         self.task = None
-        self.subscribe()  # also where none was open: what it has to tell is due 4 s from now
+        self.subscribe()  # even if no watch was open: the new address's changes are due 4 s from now
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_watch_ended(self, task: asyncio.Task[None]) -> None:
         if self.task is task:
             self.task = None
         if task.cancelled():
@@ -159,192 +172,197 @@
 
     async def _watch(self) -> None:
         loop = asyncio.get_running_loop()
-        due = loop.time() + min(RESPONSE_TIMEOUT * 2 ** min(self.failures, 8), MAX_RESPONSE_TIMEOUT)
+        deadline = loop.time() + min(RESPONSE_TIMEOUT * 2 ** min(self.failures, 8), MAX_RESPONSE_TIMEOUT)
         self.failures += 1
-        async with asyncio.timeout_at(due):
+        async with asyncio.timeout_at(deadline):
             reader, writer = await asyncio.open_connection(self.address.host, self.address.port)
         try:
-            await self._follow(reader, writer, due)
+            await self._follow(reader, writer, deadline)
         finally:
             writer.transport.abort()
 
-    async def _follow(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, due: float) -> None:
-        """``due`` is when it must have been taken up."""
+    async def _follow(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, deadline: float
+    ) -> None:
+        """Request the watch and process its lines. The response must arrive by ``deadline``."""
         http = h11.Connection(h11.CLIENT)
-        target = f"/api/targets?follow=1&since={0 if self.whole else self.index}"
+        target = f"/api/targets?follow=1&since={0 if self.needs_snapshot else self.index}"
         writer.write(
             http.send(h11.Request(method="GET", target=target, headers=[("Host", str(self.address))])) or b""
         )
         writer.write(http.send(h11.EndOfMessage()) or b"")
-        loop, lines = asyncio.get_running_loop(), LineReader(self.reader)
+        loop, line_reader = asyncio.get_running_loop(), LineReader(self.parser)
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
-                async with asyncio.timeout_at(due):
+                async with asyncio.timeout_at(deadline):
                     http.receive_data(await reader.read(65536))
             elif isinstance(event, h11.Response):
                 if event.status_code != 200:
-                    raise ValueError(f"discovery answered {event.status_code}")
+                    raise ValueError(f"discovery responded with status {event.status_code}")
                 self.failures = 0
-                due = loop.time() + SILENCE_TIMEOUT
+                deadline = loop.time() + SILENCE_TIMEOUT
                 log.info("watch taken up after version %d", self.index)
-                # also where nothing has changed
-                self.on_update(ListUpdate(self.index, False, self.reader.stage()))
+                # an empty delta: reports the open watch even if nothing has changed
+                self.on_update(ListUpdate(self.index, False, self.parser.stage()))
             elif isinstance(event, h11.Data):
-                due = loop.time() + SILENCE_TIMEOUT
-                self._read(lines, bytes(event.data))
+                deadline = loop.time() + SILENCE_TIMEOUT
+                self._process_data(line_reader, bytes(event.data))
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                raise ConnectionError("discovery closed it")
+                raise ConnectionError("discovery closed the connection")
 
-    def _read(self, lines: LineReader, data: bytes) -> None:
-        """ValueError, and the watch's end, where it can't be read: to go on with what comes behind would lose
-        its changes, so the whole list is asked for next."""
+    def _process_data(self, line_reader: LineReader, data: bytes) -> None:
+        """Parse received data and report its updates. Raises ValueError, which ends the watch, if the data is
+        invalid. Continuing after it would lose its changes, so the next watch requests a snapshot."""
         try:
-            for news in lines.feed(data):
-                if self.kept and not news.whole and news.index < self.index:
-                    raise ValueError(f"changes up to version {news.index}; {self.index} is on the disk")
-                self.whole = self.kept = False
-                self.index = news.index
-                self.on_update(news)
+            for update in line_reader.feed(data):
+                if self.kept and not update.whole and update.index < self.index:
+                    raise ValueError(f"changes up to version {update.index}; {self.index} is on the disk")
+                self.needs_snapshot = self.kept = False
+                self.index = update.index
+                self.on_update(update)
         except ValueError:
-            self.whole = True
+            self.needs_snapshot = True
             raise
 
 
 class LineReader:
-    """Puts together what may come indented and in pieces: an object goes from its first line to the one that
-    closes it. One that grows too long to be kept until then is read as it comes."""
+    """Assembles JSON objects that may be indented and may arrive in pieces. An object extends from its first
+    line to the line that closes it. One that grows too long to be buffered is parsed incrementally."""
 
-    def __init__(self, reader: EntryParser) -> None:
-        self.reader = reader
-        self.pending = b""  # of a line that has not come whole
-        self.begun: list[bytes] = []
+    def __init__(self, parser: EntryParser) -> None:
+        self.parser = parser
+        self.partial_line = b""  # the start of a line that is not complete yet
+        self.object_lines: list[bytes] = []  # of an object that is not complete yet
         self.size = 0
-        self.long: LongObject | None = None
+        self.large_object: IncrementalParser | None = None
 
     def feed(self, data: bytes) -> Iterator[ListUpdate]:
-        """What is whole now. ValueError where it can't be read."""
+        """Yield the updates that ``data`` completes. Raises ValueError if it is invalid."""
         while data:
-            if self.long is not None:
-                rest = self.long.feed(data)
-                if rest is None:
+            if self.large_object is not None:
+                remainder = self.large_object.feed(data)
+                if remainder is None:
                     return
-                yield self.reader.parse_update(self.long.facts, self.long.staged)
-                self.long, data = None, rest
+                yield self.parser.parse_update(self.large_object.fields, self.large_object.staged)
+                self.large_object, data = None, remainder
                 continue
-            *whole, self.pending = (self.pending + data).split(b"\n")
+            *complete_lines, self.partial_line = (self.partial_line + data).split(b"\n")
             data = b""
-            for line in whole:
-                raw = self._line(line)
+            for line in complete_lines:
+                raw = self._add_line(line)
                 if raw is not None:
-                    yield self.reader.read(raw)
-            if len(self.pending) + self.size > MOST_KEPT:
-                data = b"\n".join([*self.begun, self.pending])
-                self.long = LongObject(self.reader)
-                self.pending, self.begun, self.size = b"", [], 0
-
-    def _line(self, line: bytes) -> Any:
-        """The object that ends with this line, None where none does."""
+                    yield self.parser.read(raw)
+            if len(self.partial_line) + self.size > MAX_BUFFERED_BYTES:
+                data = b"\n".join([*self.object_lines, self.partial_line])
+                self.large_object = IncrementalParser(self.parser)
+                self.partial_line, self.object_lines, self.size = b"", [], 0
+
+    def _add_line(self, line: bytes) -> Any:
+        """Return the object that ends with this line, or None if no object does."""
         line = line.rstrip()
         if line:
-            self.begun.append(line)
+            self.object_lines.append(line)
             self.size += len(line)
-        if not self.begun or line and not line.endswith(b"}"):
+        if not self.object_lines or line and not line.endswith(b"}"):
             return None  # no object ends here
-        text = b"\n".join(self.begun).decode()
+        text = b"\n".join(self.object_lines).decode()
         try:
             raw = json.loads(text)
         except json.JSONDecodeError as error:
             if line and error.pos >= len(text):
-                return None  # good so far; an empty line stands between objects, never within one
+                return None  # valid so far; an empty line separates objects and never lies within one
             raise
-        self.begun, self.size = [], 0
+        self.object_lines, self.size = [], 0
         return raw
 
 
-class LongObject:
-    """One version of the list, read as it comes: no more than one entry of it is kept as text. The standard
-    library's decoder reads each entry and value; only what stands between them is looked at here."""
+class IncrementalParser:
+    """Parses one version of the endpoint list as it arrives and buffers at most one entry as text. The
+    standard library's decoder parses each entry and value; this class handles only the tokens between
+    them."""
 
-    def __init__(self, reader: EntryParser) -> None:
-        self.reader = reader
-        self.staged = reader.stage()
-        self.facts: dict[str, Any] = {}  # the object's values but its entries
+    def __init__(self, parser: EntryParser) -> None:
+        self.parser = parser
+        self.staged = parser.stage()
+        self.fields: dict[str, Any] = {}  # the object's fields except its entries
         self._decode = json.JSONDecoder().raw_decode
-        self._bytes = codecs.getincrementaldecoder("utf-8")()
+        self._utf8_decoder = codecs.getincrementaldecoder("utf-8")()
         self._text = ""
-        self._at = 0
-        self._expects = "{"
+        self._position = 0
+        self._expected = "{"
         self._key = ""
 
     def feed(self, data: bytes) -> bytes | None:
-        """What stands behind the object once it is whole, None before. ValueError where it can't be read."""
-        self._text = self._text[self._at :] + self._bytes.decode(data)
-        self._at = 0
-        while self._expects:
-            space = SPACE.match(self._text, self._at)
-            assert space is not None  # it may be empty
-            begins = space.end()
-            if EMPTY_LINE.search(self._text, self._at, begins):
+        """Return the data after the object once it is complete, else None. Raises ValueError if the object is
+        invalid."""
+        self._text = self._text[self._position :] + self._utf8_decoder.decode(data)
+        self._position = 0
+        while self._expected:
+            whitespace = WHITESPACE.match(self._text, self._position)
+            assert whitespace is not None  # the pattern also matches the empty string
+            start = whitespace.end()
+            if EMPTY_LINE.search(self._text, self._position, start):
                 raise ValueError("an empty line within an object")
-            if begins - self._at > MOST_ENTRY:
-                raise ValueError("nothing but space")
-            if begins == len(self._text):
-                self._at = max(self._at, self._text.rfind("\n", self._at))  # the next may make an empty line
+            if start - self._position > MAX_ENTRY_CHARACTERS:
+                raise ValueError("too much whitespace between two tokens")
+            if start == len(self._text):
+                # keep the last line feed: another one may follow and make an empty line
+                self._position = max(self._position, self._text.rfind("\n", self._position))
                 return None
-            if not self._step(begins):
-                if EMPTY_LINE.search(self._text, begins) or len(self._text) - begins > MOST_ENTRY:
-                    raise ValueError(f"not JSON: {self._text[begins:begins + 40]!r}")
-                self._at = begins
+            if not self._consume(start):
+                if EMPTY_LINE.search(self._text, start) or len(self._text) - start > MAX_ENTRY_CHARACTERS:
+                    raise ValueError(f"not JSON: {self._text[start:start + 40]!r}")
+                self._position = start
                 return None
-        return self._text[self._at :].encode()
+        return self._text[self._position :].encode()
 
-    def _step(self, at: int) -> bool:
-        """Take the next token or value. False where more has to come."""
-        char = self._text[at]
-        match self._expects, char:
+    def _consume(self, start: int) -> bool:
+        """Consume the next token or value. Returns False if it is incomplete."""
+        character = self._text[start]
+        match self._expected, character:
             case ("{", "{"):
-                self._expects = "first key"
+                self._expected = "first key"
             case ("first key" | ",", "}"):
-                self._expects = ""
+                self._expected = ""
             case (",", ","):
-                self._expects = "key"
+                self._expected = "key"
             case ("first key" | "key", '"'):
-                return self._value(at, lambda key: self._named(str(key)))
+                return self._consume_value(start, lambda key: self._on_key(str(key)))
             case (":", ":"):
-                self._expects = "[" if self._key == "endpoints" else "value"
+                self._expected = "[" if self._key == "endpoints" else "value"
             case ("value", _):
-                return self._value(at, self._fact)
+                return self._consume_value(start, self._on_value)
             case ("[", "["):
-                self.facts[self._key], self._expects = None, "first entry"
+                self.fields[self._key], self._expected = None, "first entry"
             case ("first entry" | ",]", "]"):
-                self._expects = ","
+                self._expected = ","
             case (",]", ","):
-                self._expects = "entry"
+                self._expected = "entry"
             case ("first entry" | "entry", "{"):
-                return self._value(at, self._entry)
+                return self._consume_value(start, self._on_entry)
             case _:
-                raise ValueError(f"not a list: {self._text[at:at + 40]!r}")
-        self._at = at + 1
+                raise ValueError(f"not an endpoint list: {self._text[start:start + 40]!r}")
+        self._position = start + 1
         return True
 
-    def _value(self, at: int, take: Callable[[Any], None]) -> bool:
+    def _consume_value(self, start: int, handle: Callable[[Any], None]) -> bool:
         try:
-            value, end = self._decode(self._text, at)
+            value, end = self._decode(self._text, start)
         except json.JSONDecodeError:
             return False
         if end == len(self._text) and self._text[end - 1] not in '"}]':
-            return False  # a number may go on
-        take(value)
-        self._at = end
+            return False  # a number may continue in the next piece
+        handle(value)
+        self._position = end
         return True
 
-    def _named(self, key: str) -> None:
-        self._key, self._expects = key, ":"
+    def _on_key(self, key: str) -> None:
+        self._key, self._expected = key, ":"
 
-    def _fact(self, value: Any) -> None:
-        self.facts[self._key], self._expects = value, ","
+    def _on_value(self, value: Any) -> None:
+        self.fields[self._key], self._expected = value, ","
 
-    def _entry(self, line: Any) -> None:
-        self.reader.add(self.staged, line)
-        self._expects = ",]"
+    def _on_entry(self, entry: Any) -> None:
+        self.parser.add(self.staged, entry)
+        self._expected = ",]"
--- a/garnetrelay/endpoint_cache.py
+++ b/garnetrelay/endpoint_cache.py
@@ -1,12 +1,12 @@
-"""The list on the disk, so that a restart asks discovery only for what has changed since.
+"""A copy of the endpoint list on disk, so that a restarted relay asks discovery only for later changes.
 
-One file beside the journal: a header, the whole list in parts, its version, then a record for each change.
-Every record carries its length and a checksum. It is trusted as far as discovery's version goes: what is
-damaged, of another form or of other zones and kinds is not taken over, and the whole list is asked for.
+The file lies beside the journal. It holds a header, a snapshot of the list in chunks, the version of the
+snapshot, and then one record per delta. Every record carries its length and a checksum. The file is trusted
+up to the discovery version that it states. A file that is damaged, in another format, or written for other
+zones or kinds is not used; the relay asks discovery for a snapshot instead.
 
-Writing it is never waited for: the whole list is written in slices between which the relay goes on, into a
-file that then takes the old one's place. Where two processes share the folder, the one that holds the lock
-writes.
+The relay never waits for the file: a snapshot is written in chunks, between which other work runs, to a new
+file that then replaces the old one. If two processes share the folder, only the holder of the lock writes.
 """
 
 from __future__ import annotations
@@ -27,52 +27,54 @@
 log = logging.getLogger(__name__)
 
 FORMAT = 1
-RECORD = struct.Struct("<cII")  # sort, length of the payload, its CRC-32 (and the sort's)
-DEST = struct.Struct("<qI")  # number, length of what is packed; 0 where it has no endpoints any more
+RECORD_HEADER = struct.Struct("<cII")  # record kind, length of the payload, CRC-32 of kind and payload
+# destination, length of its packed endpoints (0: it has no endpoints any more)
+DESTINATION_HEADER = struct.Struct("<qI")
 VERSION = struct.Struct("<q")
-HEADER, PART, WHOLE, CHANGE = b"H", b"P", b"W", b"C"
-SLICE = 512  # destinations in a part: some milliseconds of work
-PAUSE = 0.005  # seconds between two slices
-REWRITE_SHARE = 0.25  # of the whole list's size: changes beyond that are worth writing it anew
-MIN_REWRITE_BYTES = 64 * 1024  # bytes of changes below which they are not
-# seconds after the whole list was too long for its room: it may have shrunk
+# record kinds; SNAPSHOT_END holds the version of the snapshot and its number of destinations
+HEADER, CHUNK, SNAPSHOT_END, DELTA = b"H", b"P", b"W", b"C"
+CHUNK_DESTINATIONS = 512  # destinations in a chunk: some milliseconds of work
+CHUNK_PAUSE = 0.005  # seconds between two chunks
+REWRITE_SHARE = 0.25  # of the snapshot's size: more bytes of deltas than this cause a rewrite
+MIN_REWRITE_BYTES = 64 * 1024  # bytes of deltas; fewer are not worth a rewrite
+# seconds after the list did not fit the size limit: it may have shrunk
 RETRY_DELAY_AFTER_OVERFLOW = 600.0
-RETRY_DELAY_AFTER_ERROR = 0.5  # seconds after it could not be written: the disk may be well again
+RETRY_DELAY_AFTER_ERROR = 0.5  # seconds after a write failed: the disk may have recovered
 
 
 class EndpointCache:
-    """One relay's list in its folder. OSError never gets out: what can't be kept is not, and the log says
-    so."""
+    """The copy of one relay's endpoint list in its folder. No method raises OSError: if the list cannot be
+    stored, the cache logs that and leaves the file as it is."""
 
-    def __init__(self, folder: Path, most_bytes: int, zones: Iterable[str], kinds: Iterable[str]) -> None:
+    def __init__(self, folder: Path, disk_bytes: int, zones: Iterable[str], kinds: Iterable[str]) -> None:
         self.path = folder / "list"
         self.temporary_path = folder / "list.new"
-        self.max_bytes = most_bytes  # for the file and the one that takes its place together
+        self.max_bytes = disk_bytes  # for the file and its replacement together
         self.header = json.dumps({"format": FORMAT, "zones": list(zones), "kinds": list(kinds)}).encode()
         self.lock_path = folder / "list.lock"
-        self.lock: int | None = None  # until the lock is first wanted
-        self.file: int | None = None  # holds the whole list, and its changes are appended
-        self.whole_size = 0
+        self.lock: int | None = None  # opened when the lock is first needed
+        self.file: int | None = None  # holds a complete snapshot; deltas are appended to it
+        self.snapshot_size = 0
         self.size = 0
-        self.writing: asyncio.Task[None] | None = None
-        self.changed: set[int] = set()  # while the whole list is written: what has changed meanwhile
-        self.failing = False  # it could not be written lately
-        self.catalog: Catalog | None = None  # what is to be on the disk
-        self.again: asyncio.TimerHandle | None = None  # the next try after one that failed
-        self.not_before = 0.0  # when the whole list may be written again
+        self.rewrite_task: asyncio.Task[None] | None = None
+        self.changed_during_rewrite: set[int] = set()  # destinations
+        self.failing = False  # the latest write failed
+        self.catalog: Catalog | None = None  # the list to be stored
+        self.retry_timer: asyncio.TimerHandle | None = None  # after a failure
+        self.next_rewrite_at = 0.0  # when a snapshot may be written again
 
     def load(self, catalog: Catalog, known: int) -> bool:
-        """Take over what is kept, if it is newer than version ``known``. False if not, with a line in the log
-        where something is there that can't be read."""
+        """Restore the stored list into ``catalog`` if it is newer than version ``known``. Returns whether it
+        did; logs a warning if the file exists but cannot be used."""
         try:
             data = self.path.read_bytes()
         except FileNotFoundError:
             return False
         except OSError as error:
-            log.warning("the kept list can't be read: %s", error.strerror)
+            log.warning("the kept list cannot be read: %s", error.strerror)
             return False
         try:
-            packed, version = self._read(data)
+            packed, version = self._parse(data)
             if version <= known:
                 return False
             catalog.restore(packed, version)
@@ -83,182 +85,199 @@
         return True
 
     def store(self, catalog: Catalog, changed: set[int], whole: bool) -> None:
-        """What has been taken over is to be on the disk, too."""
+        """Store an update that was committed to the catalog: a snapshot if ``whole``, else the destinations
+        in ``changed``."""
         self.catalog = catalog
-        if not self._holds_lock():
+        if not self._acquire_lock():
             return
-        if self.writing is not None and not self.writing.done() and not whole:
-            self.changed |= changed
+        if self.rewrite_task is not None and not self.rewrite_task.done() and not whole:
+            self.changed_during_rewrite |= changed
         elif whole or self.file is None:
-            self._write_anew(catalog)
+            self._start_rewrite(catalog)
         elif changed:
-            self._append_change(self.file, catalog, changed)
+            self._append_delta(self.file, catalog, changed)
 
     def close(self) -> None:
-        if self.writing is not None:
-            self.writing.cancel()
-        if self.again is not None:
-            self.again.cancel()
+        """Stop writing, close the file and release the lock."""
+        if self.rewrite_task is not None:
+            self.rewrite_task.cancel()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         for file in (self.file, self.lock):
             if file is not None:
                 close_quietly(file)
         self.file = self.lock = None
 
-    def _holds_lock(self) -> bool:
+    def _acquire_lock(self) -> bool:
         try:
             if self.lock is None:
                 self.lock = os.open(self.lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            return False  # the process before us; the whole list is written once it is gone
+            return False  # held by the predecessor; a snapshot is written once it has exited
         except OSError as error:
-            self._note_failure(str(error.strerror))
-            self._try_again_after(RETRY_DELAY_AFTER_ERROR)
+            self._report_failure(str(error.strerror))
+            self._schedule_retry(RETRY_DELAY_AFTER_ERROR)
             return False
         return True
 
     # ---- reading
 
-    def _read(self, data: bytes) -> tuple[dict[int, bytes], int]:
+    def _parse(self, data: bytes) -> tuple[dict[int, bytes], int]:
+        """Return the packed endpoints by destination, and the version. Raises ValueError if the file cannot
+        be used."""
         packed: dict[int, bytes] = {}
         version: int | None = None
-        for sort, payload in _records(data):
-            if sort == HEADER and payload != self.header:
-                raise ValueError("it is of another form, or of other zones or kinds")
-            if sort == WHOLE:
+        for record_kind, payload in _decode_records(data):
+            if record_kind == HEADER and payload != self.header:
+                raise ValueError("it is of another form, or for other zones or kinds")
+            if record_kind == SNAPSHOT_END:
                 version, count = VERSION.unpack_from(payload)[0], len(packed)
                 if VERSION.unpack_from(payload, VERSION.size)[0] != count:
-                    raise ValueError("it is not whole")
-            elif sort == PART or sort == CHANGE:
-                if sort == CHANGE:
+                    raise ValueError("the snapshot is incomplete")
+            elif record_kind == CHUNK or record_kind == DELTA:
+                if record_kind == DELTA:
                     version = VERSION.unpack_from(payload)[0]
-                at = VERSION.size
-                while at < len(payload):
-                    dest, length = DEST.unpack_from(payload, at)
-                    at += DEST.size + length
+                offset = VERSION.size
+                while offset < len(payload):
+                    destination, length = DESTINATION_HEADER.unpack_from(payload, offset)
+                    offset += DESTINATION_HEADER.size + length
                     if length:
-                        packed[dest] = payload[at - length : at]
+                        packed[destination] = payload[offset - length : offset]
                     else:
-                        packed.pop(dest, None)
+                        packed.pop(destination, None)
         if version is None:
-            raise ValueError("it is not whole")
+            raise ValueError("the snapshot is incomplete")
         return packed, version
 
     # ---- writing
 
-    def _append_change(self, file: int, catalog: Catalog, changed: set[int]) -> None:
-        """The change behind the list; the list anew where the changes have no more room, or outgrow it."""
-        change = _changes(catalog, changed)
-        if self.size + RECORD.size + len(change) > self.max_bytes // 2:
-            self._write_anew(catalog)
-        elif self._append(file, CHANGE, change):
-            if self.size - self.whole_size > max(MIN_REWRITE_BYTES, REWRITE_SHARE * self.whole_size):
-                self._write_anew(catalog)
+    def _append_delta(self, file: int, catalog: Catalog, changed: set[int]) -> None:
+        """Append a delta, or rewrite the file if the deltas no longer fit or have grown too large."""
+        delta = _encode_destinations(catalog, changed)
+        if self.size + RECORD_HEADER.size + len(delta) > self.max_bytes // 2:
+            self._start_rewrite(catalog)
+        elif self._append(file, DELTA, delta):
+            if self.size - self.snapshot_size > max(MIN_REWRITE_BYTES, REWRITE_SHARE * self.snapshot_size):
+                self._start_rewrite(catalog)
 
-    def _append(self, file: int, sort: bytes, payload: bytes) -> bool:
-        record = _record(sort, payload)
+    def _append(self, file: int, record_kind: bytes, payload: bytes) -> bool:
+        record = _encode_record(record_kind, payload)
         if self.size + len(record) > self.max_bytes // 2:
-            return self._give_up(f"over {self.max_bytes // 2} bytes", RETRY_DELAY_AFTER_OVERFLOW)
+            return self._handle_failure(f"over {self.max_bytes // 2} bytes", RETRY_DELAY_AFTER_OVERFLOW)
         try:
             write_all(file, record)
         except OSError as error:
-            return self._give_up(str(error.strerror), RETRY_DELAY_AFTER_ERROR)
+            return self._handle_failure(str(error.strerror), RETRY_DELAY_AFTER_ERROR)
         self.size += len(record)
         self.failing = False
         return True
 
-    def _note_failure(self, why: str) -> None:
-        """Said once, not at each change of the list."""
+    def _report_failure(self, reason: str) -> None:
+        """Log the first failure in a row, not one for each change of the list."""
         if not self.failing:
-            log.warning("the list on the disk is left as it is: %s", why)
+            log.warning("the list on the disk is left as it is: %s", reason)
         self.failing = True
 
-    def _give_up(self, why: str, again_after: float) -> bool:
-        """What stands there stays good for its own version, and a torn end is passed over. But no further
-        change may be appended: what could not be written would be missing before it."""
-        self._note_failure(why)
-        self.not_before = asyncio.get_running_loop().time() + again_after
-        self._try_again_after(again_after)
+    def _handle_failure(self, reason: str, retry_delay: float) -> bool:
+        """Close the file and schedule a rewrite. The file stays valid for its own version, as readers skip a
+        torn tail, but no later delta may be appended: the delta that failed would be missing before it."""
+        self._report_failure(reason)
+        self.next_rewrite_at = asyncio.get_running_loop().time() + retry_delay
+        self._schedule_retry(retry_delay)
         if self.file is not None:
             close_quietly(self.file)
             self.file = None
         return False
 
-    def _try_again_after(self, seconds: float) -> None:
-        if self.again is not None:
-            self.again.cancel()
-        self.again = asyncio.get_running_loop().call_later(seconds, self._try_again)
+    def _schedule_retry(self, seconds: float) -> None:
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+        self.retry_timer = asyncio.get_running_loop().call_later(seconds, self._retry)
 
-    def _try_again(self) -> None:
+    def _retry(self) -> None:
         if self.catalog is not None and self.file is None:
             self.store(self.catalog, set(), whole=True)
 
-    def _write_anew(self, catalog: Catalog) -> None:
-        if self.writing is not None:
-            self.writing.cancel()
-        self.changed = set()
-        if not catalog.packed or asyncio.get_running_loop().time() < self.not_before:
+    def _start_rewrite(self, catalog: Catalog) -> None:
+        if self.rewrite_task is not None:
+            self.rewrite_task.cancel()
+        self.changed_during_rewrite = set()
+        if not catalog.packed or asyncio.get_running_loop().time() < self.next_rewrite_at:
             return
-        self.writing = asyncio.get_running_loop().create_task(self._write(catalog))
+        self.rewrite_task = asyncio.get_running_loop().create_task(self._rewrite(catalog))
 
-    async def _write(self, catalog: Catalog) -> None:
-        """The whole list, in slices, then what has changed meanwhile; the new file takes the old one's
-        place."""
-        new, before = None, (self.size, self.whole_size)
+    async def _rewrite(self, catalog: Catalog) -> None:
+        """Write a snapshot in chunks, then a delta of what changed meanwhile, and replace the old file."""
+        new_file, sizes_before = None, (self.size, self.snapshot_size)
         try:
             flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
-            new = os.open(self.temporary_path, flags, 0o600)
+            new_file = os.open(self.temporary_path, flags, 0o600)
             self.size = 0
-            done = self._append(new, HEADER, self.header)
-            dests = list(catalog.packed)
+            succeeded = self._append(new_file, HEADER, self.header)
+            destinations = list(catalog.packed)
             written = 0
-            for start in range(0, len(dests), SLICE):
-                part = [dest for dest in dests[start : start + SLICE] if dest in catalog.packed]
-                done = done and self._append(new, PART, _changes(catalog, part))
-                written += len(part)
-                await asyncio.sleep(PAUSE)
-            whole = VERSION.pack(catalog.version) + VERSION.pack(written)
-            done = done and self._append(new, WHOLE, whole)
-            if self.changed:
-                done = done and self._append(new, CHANGE, _changes(catalog, self.changed))
-            if not done:
+            for start in range(0, len(destinations), CHUNK_DESTINATIONS):
+                chunk = [
+                    destination
+                    for destination in destinations[start : start + CHUNK_DESTINATIONS]
+                    if destination in catalog.packed
+                ]
+                succeeded = succeeded and self._append(new_file, CHUNK, _encode_destinations(catalog, chunk))
+                written += len(chunk)
+                await asyncio.sleep(CHUNK_PAUSE)
+            snapshot_end = VERSION.pack(catalog.version) + VERSION.pack(written)
+            succeeded = succeeded and self._append(new_file, SNAPSHOT_END, snapshot_end)
+            if self.changed_during_rewrite:
+                succeeded = succeeded and self._append(
+                    new_file, DELTA, _encode_destinations(catalog, self.changed_during_rewrite)
+                )
+            if not succeeded:
                 remove_quietly(self.temporary_path)
                 return
             os.rename(self.temporary_path, self.path)
             if self.file is not None:
                 close_quietly(self.file)
-            self.file, new, self.whole_size, before = new, None, self.size, (self.size, self.size)
+            self.file, new_file, self.snapshot_size, sizes_before = (
+                new_file,
+                None,
+                self.size,
+                (self.size, self.size),
+            )
             log.info("list version %d is kept: %d bytes", catalog.version, self.size)
         except OSError as error:
-            self._give_up(str(error.strerror), RETRY_DELAY_AFTER_ERROR)
+            self._handle_failure(str(error.strerror), RETRY_DELAY_AFTER_ERROR)
         finally:
-            self.size, self.whole_size = before
-            if new is not None:
-                close_quietly(new)
+            self.size, self.snapshot_size = sizes_before
+            if new_file is not None:
+                close_quietly(new_file)
 
 
-def _changes(catalog: Catalog, dests: Iterable[int]) -> bytes:
+def _encode_destinations(catalog: Catalog, destinations: Iterable[int]) -> bytes:
     parts = [VERSION.pack(catalog.version)]
-    for dest in dests:
-        packed = catalog.packed.get(dest, b"")
-        parts += (DEST.pack(dest, len(packed)), packed)
+    for destination in destinations:
+        packed = catalog.packed.get(destination, b"")
+        parts += (DESTINATION_HEADER.pack(destination, len(packed)), packed)
     return b"".join(parts)
 
 
-def _record(sort: bytes, payload: bytes) -> bytes:
-    return RECORD.pack(sort, len(payload), zlib.crc32(payload, zlib.crc32(sort))) + payload
+def _encode_record(record_kind: bytes, payload: bytes) -> bytes:
+    return (
+        RECORD_HEADER.pack(record_kind, len(payload), zlib.crc32(payload, zlib.crc32(record_kind))) + payload
+    )
 
 
-def _records(data: bytes) -> Iterator[tuple[bytes, bytes]]:
-    """Those that are whole. A torn end is passed over: what stands before it is good for its version.
-    ValueError where one is damaged: what came behind it can't be told any more."""
-    at = 0
-    while at + RECORD.size <= len(data):
-        sort, length, checksum = RECORD.unpack_from(data, at)
-        at += RECORD.size + length
-        if at > len(data):
+def _decode_records(data: bytes) -> Iterator[tuple[bytes, bytes]]:
+    """Yield the kind and payload of each complete record. A torn tail is skipped: the records before it are
+    valid for their version. Raises ValueError at a damaged record, as the records after it cannot be
+    located."""
+    offset = 0
+    while offset + RECORD_HEADER.size <= len(data):
+        record_kind, length, checksum = RECORD_HEADER.unpack_from(data, offset)
+        offset += RECORD_HEADER.size + length
+        if offset > len(data):
             return
-        payload = data[at - length : at]
-        if zlib.crc32(payload, zlib.crc32(sort)) != checksum:
-            raise ValueError(f"it is damaged before byte {at}")
-        yield sort, payload
+        payload = data[offset - length : offset]
+        if zlib.crc32(payload, zlib.crc32(record_kind)) != checksum:
+            raise ValueError(f"a record is damaged before byte {offset}")
+        yield record_kind, payload
--- a/garnetrelay/files.py
+++ b/garnetrelay/files.py
@@ -1,5 +1,5 @@
-"""System calls on files of the lasting folder, with what each may leave undone: short reads, short writes,
-errors at closing and removing."""
+"""File operations for the state folder that handle what the system calls may leave undone: short reads, short
+writes, and errors when closing or removing a file."""
 
 from __future__ import annotations
 
@@ -12,31 +12,33 @@
 
 
 def write_all(file: int, data: bytes) -> None:
-    """Write all of ``data``; the kernel may take a part at a time. OSError where it does not take the rest:
-    a part may stand in the file then."""
+    """Write all of ``data``; one system call may write only a part. Raises OSError if the rest cannot be
+    written, in which case a part may be in the file."""
     view = memoryview(data)
     while view:
         view = view[os.write(file, view) :]
 
 
 def read_all(file: int) -> bytes:
-    """The file from its first byte to its end. OSError where a part cannot be read."""
-    pieces = []
-    at = 0
-    while piece := os.pread(file, max(1, os.fstat(file).st_size - at), at):
-        pieces.append(piece)
-        at += len(piece)
-    return b"".join(pieces)
+    """Return the whole contents of the file. Raises OSError if a part cannot be read."""
+    chunks = []
+    offset = 0
+    while chunk := os.pread(file, max(1, os.fstat(file).st_size - offset), offset):
+        chunks.append(chunk)
+        offset += len(chunk)
+    return b"".join(chunks)
 
 
 def close_quietly(file: int) -> None:
-    """Close a descriptor. Linux frees it whatever error the call reports: there is nothing to try again."""
+    """Close a descriptor and ignore errors. Linux frees it whatever error close reports, so there is nothing
+    to retry."""
     with contextlib.suppress(OSError):
         os.close(file)
 
 
 def remove_quietly(path: Path) -> bool:
-    """Whether the file is gone. False, with a line in the log, where it cannot be removed just now."""
+    """Remove a file, if it exists. Returns False, after logging a warning, if it cannot be removed at
+    present."""
     try:
         path.unlink(missing_ok=True)
     except OSError as error:
--- a/garnetrelay/journal.py
+++ b/garnetrelay/journal.py
@@ -1,16 +1,17 @@
-"""The durable record of what this relay has taken on.
-
-One append-only file, locked while it is open: who holds the lock owns the messages in it, and the kernel
-frees it when its holder dies. Each record carries its length and a checksum, and goes out in one unbuffered
-write: the kernel keeps it when the process is killed, with no need to sync. What has ended makes way when the
-file is written anew beside the old one and renamed over it; the two together stay within the disk limit.
-
-A record is a JSON object, and behind a line feed the message's body where it has one:
-``taken`` (also a message's whole state, after the file was written anew), ``try`` (an attempt's first byte is
-about to go out), ``outcome``, ``ended`` and ``told`` (its notice was acknowledged). ``clock`` says how the
-times in the records behind it are to be read: as those of the monotonic clock of a boot of the machine, plus
-an offset, which makes them near the wall clock's. Records with no ``clock`` before them are those of earlier
-versions, whose times are the wall clock's.
+"""The write-ahead journal of accepted messages.
+
+The journal is one append-only file, locked while it is open. The holder of the lock owns the messages in it;
+the kernel releases the lock when the holder dies. Each record carries its length and a checksum and is
+appended in one unbuffered write: the kernel keeps it when the process is killed, so no sync is needed.
+Records of finished messages are dropped by a rewrite: the live entries go to a new file beside the old one,
+which is then renamed over it. Both files together stay within the disk limit.
+
+A record is a JSON object, followed by a line feed and the message's body if there is one. Record kinds:
+``taken`` (a message was accepted; after a rewrite, its full state), ``try`` (the first byte of an attempt is
+about to be sent), ``outcome``, ``ended`` and ``told`` (its notice was acknowledged). ``clock`` defines how to
+read the times in the records after it: as times of the monotonic clock of one boot of the machine plus an
+offset that brings them close to the wall clock. Records without a ``clock`` record before them come from
+earlier versions, whose times are wall-clock times.
 """
 
 from __future__ import annotations
@@ -33,18 +34,19 @@
 
 log = logging.getLogger(__name__)
 
-HEAD = struct.Struct(">2sII")  # mark, length of the payload, its CRC-32
-MARK = b"\xa7R"  # where reading can begin again behind a damaged record
-MOST_PAYLOAD = 1 << 20
-BLOCK = 512  # a file counts in whole blocks
-LATER = 1024  # what a message's whole record takes beside its names and body, and some further ones with it
-TIDY_FROM = 256 * 1024  # below this, dead records are not worth a rewrite
-TIDY_AGAIN = 1.0  # seconds from a rewrite that failed to the next, where there is room without
+RECORD_HEADER = struct.Struct(">2sII")  # magic, length of the payload, CRC-32 of the payload
+MAGIC = b"\xa7R"  # marks where reading can resume after a damaged record
+MAX_PAYLOAD = 1 << 20  # bytes
+BLOCK_SIZE = 512  # bytes; a file occupies whole blocks
+# bytes reserved for a message: its full record apart from names and body, and some later records about it
+RECORD_OVERHEAD = 1024
+MIN_REWRITE_BYTES = 256 * 1024  # a smaller file is not rewritten only to drop dead records
+REWRITE_RETRY_DELAY = 1.0  # seconds after a failed rewrite, while there is room without one
 
 
 @dataclass(slots=True)
 class JournalEntry:
-    """A message as the disk knows it. Times are of this boot's monotonic clock, in milliseconds."""
+    """The recorded state of a message. Times are milliseconds of this boot's monotonic clock."""
 
     ref: str
     klass: str
@@ -53,75 +55,80 @@
     deadline: int
     body: bytes
     attempts: int = 0
-    trying_at: int | None = None  # an attempt without an outcome: it may have run
+    trying_at: int | None = None  # start of an attempt without an outcome, which may have been executed
     trying_zone: str = ""
-    ran_at: int | None = None  # the first attempt known to have perhaps run
+    ran_at: int | None = None  # start of the first attempt known to have possibly been executed
     ran_zone: str = ""
     ended: str | None = None  # a result whose notice is not acknowledged yet
     wait_ms: int = 0
-    uncertain: bool = False  # a record was damaged since it was taken: an attempt may be missing
+    uncertain: bool = False  # a record was damaged after it was accepted: an attempt may be missing
 
 
 class Journal:
-    """Appends records, keeps the live entries, and makes room.
+    """Appends records, keeps the live entries and rewrites the file to reclaim space.
 
-    While the disk fails, the entries in memory are ahead of the file: ``pending`` holds the records that are
-    missing there, and they are written before any other as soon as that can be done.
+    While the disk fails, the entries in memory are ahead of the file: ``pending`` holds the records missing
+    there. They are written before any other record as soon as the disk accepts writes again.
     """
 
     def __init__(self, folder: Path, disk_bytes: int, name: str = "journal", create: bool = True) -> None:
-        """BlockingIOError where another process has it, FileNotFoundError where it is gone, any other OSError
-        where it cannot be opened or read just now."""
+        """Open, lock and read the journal.
+
+        Raises BlockingIOError if another process holds it, FileNotFoundError if it does not exist or was
+        removed meanwhile, and any other OSError if it cannot be opened or read at present.
+        """
         self.path = folder / name
         self.temporary_path = folder / f"{name}.new"
-        self.max_bytes = disk_bytes - 8 * BLOCK
+        self.max_bytes = disk_bytes - 8 * BLOCK_SIZE
         self.entries: dict[str, JournalEntry] = {}
-        self.live_bytes = 0  # bytes that the live entries would take in a new file, later records included
+        # bytes that the live entries would take in a rewritten file, including their later records
+        self.live_bytes = 0
         self.pending: deque[bytes] = deque()  # records that could not be written yet, oldest first
         self.failing = False  # the latest record could not be written
-        self.torn = False  # half a record stands at the end of the file: to be cut before another is written
+        self.has_torn_tail = False  # the file ends in a partial record, to be truncated before the next write
         self.boot = boot_id()
-        self.offset = wall_offset_ms()  # from our times to the file's
-        self.boot_known = False  # the file says that its times are of this boot
-        self.tidy_after = 0.0  # when a rewrite that nothing waits for may be tried again
+        self.offset = wall_offset_ms()  # from times in memory to times in the file
+        self.is_current_boot = False  # the times in the file are of this boot
+        self.next_rewrite_at = 0.0  # when a rewrite that no record depends on may be tried again
         self.file = _open_locked(self.path, os.O_CREAT if create else 0)
-        remove_quietly(self.temporary_path)  # a rewrite that a kill cut short
+        remove_quietly(self.temporary_path)  # left by a rewrite that a kill interrupted
         try:
             self.size = self._load()
         except OSError:
             close_quietly(self.file)
             raise
-        self._distrust_windows()
-        if not self.boot_known:
+        self._mark_attempt_times_uncertain()
+        if not self.is_current_boot:
             self.offset = wall_offset_ms()
-            self.pending.append(self._clock())
+            self.pending.append(self._clock_record())
 
     def close(self) -> None:
-        """Let go of it: whoever takes it next owns what is in it."""
+        """Release the journal: the next process to acquire it owns its messages."""
         close_quietly(self.file)
 
     def remove(self) -> bool:
-        """Whether it is gone; where it cannot be removed just now it stays ours."""
-        if not remove_quietly(self.path):  # under its lock: nobody can have taken it meanwhile
+        """Remove the file. Returns False if that fails; the journal then stays open and locked."""
+        if not remove_quietly(self.path):  # still locked: no other process can have acquired it meanwhile
             return False
         self.close()
         return True
 
-    # ---- what happens to a message
+    # ---- message lifecycle
 
     def has_room(self, weight: int) -> bool:
-        """Whether one more message fits, also while old and new file stand side by side."""
-        return not self.failing and 2 * (self.live_bytes + weight + LATER) <= self.max_bytes
+        """Whether one more message fits, even while the old and the rewritten file exist side by side."""
+        return not self.failing and 2 * (self.live_bytes + weight + RECORD_OVERHEAD) <= self.max_bytes
 
     def accept(self, entry: JournalEntry) -> bool:
-        """Whether the message is on record now; without that it must not be taken on."""
-        if not self._append(self._whole(entry)):
+        """Record an accepted message. Returns False if that fails: the message must not be accepted then."""
+        if not self._append(self._full_record(entry)):
             return False
         self._add(entry)
         return True
 
     def record_attempt_start(self, ref: str, zone: str, now_ms: int) -> bool:
-        """Whether the attempt is on record now; without that its first byte must not go out."""
+        """Record the start of an attempt. Returns False if that fails: its first byte must not be sent
+        then."""
         record = {"t": "try", "ref": ref, "at": now_ms + self.offset, "zone": zone}
         if ref not in self.entries or not self._append(_pack(record, b"")):
             return False
@@ -129,27 +136,31 @@
         return True
 
     def record_outcome(self, ref: str, may_have_run: bool) -> None:
-        self._note({"t": "outcome", "ref": ref, "ran": may_have_run})
+        """Record the outcome of the current attempt."""
+        self._append_or_queue({"t": "outcome", "ref": ref, "ran": may_have_run})
 
     def record_finish(self, ref: str, result: str | None, wait_ms: int = 0) -> bool:
-        """Over: with the result that a notice has to tell, or without one where nothing more is owed. Whether
-        that is on record now; without that a notice must not go out while the message could be sent again."""
-        return self._note({"t": "ended", "ref": ref, "result": result, "wait": wait_ms})
+        """Record the end of a message, with the result that a notice has to report, or None if no notice is
+        owed. Returns whether it is on record: until then no notice may be sent, as a successor could still
+        send the message again."""
+        return self._append_or_queue({"t": "ended", "ref": ref, "result": result, "wait": wait_ms})
 
     def record_notified(self, ref: str) -> None:
-        self._note({"t": "told", "ref": ref})
+        """Record that the notice of a message was acknowledged."""
+        self._append_or_queue({"t": "told", "ref": ref})
 
     def flush(self) -> bool:
-        """Write what could not be written before. Whether nothing is left to write."""
+        """Write the pending records. Returns whether none is left."""
         if not self.failing:
             return True
         self._make_room(sum(map(len, self.pending)))
-        return self._write_pending() and self._write(NO_CHANGE)
+        return self._write_pending() and self._write(NO_OP_RECORD)
 
     # ---- the live entries
 
-    def _note(self, record: dict[str, Any]) -> bool:
-        """Something that has happened, whether or not it can be written yet. Whether it is on record now."""
+    def _append_or_queue(self, record: dict[str, Any]) -> bool:
+        """Append the record of an event that has already happened, or queue it if it cannot be written yet.
+        Returns whether it is on record."""
         if record["ref"] not in self.entries:
             return False
         data = _pack(record, b"")
@@ -166,7 +177,9 @@
         match record["t"]:
             case "try":
                 entry.attempts += 1
-                if entry.ran_at is None:  # the process died under an attempt: its later ones do not undo that
+                # The process died during the previous attempt; later attempts do not change that it may
+                # have been executed.
+                if entry.ran_at is None:
                     entry.ran_at, entry.ran_zone = entry.trying_at, entry.trying_zone
                 entry.trying_at, entry.trying_zone = record["at"] - self.offset, record["zone"]
             case "outcome":
@@ -177,49 +190,49 @@
                 self.live_bytes -= len(entry.body)
                 entry.ended, entry.wait_ms, entry.body = record["result"], record["wait"], b""
             case "ended" | "told":
-                self.live_bytes -= record_weight(entry.ref, entry.key, entry.body) + LATER
+                self.live_bytes -= record_weight(entry.ref, entry.key, entry.body) + RECORD_OVERHEAD
                 del self.entries[entry.ref]
 
     def _add(self, entry: JournalEntry) -> None:
-        old = self.entries.get(entry.ref)
-        self.live_bytes += record_weight(entry.ref, entry.key, entry.body) + LATER
-        if old is not None:
-            self.live_bytes -= record_weight(old.ref, old.key, old.body) + LATER
+        previous = self.entries.get(entry.ref)
+        self.live_bytes += record_weight(entry.ref, entry.key, entry.body) + RECORD_OVERHEAD
+        if previous is not None:
+            self.live_bytes -= record_weight(previous.ref, previous.key, previous.body) + RECORD_OVERHEAD
         self.entries[entry.ref] = entry
 
     # ---- the clock
 
-    def _clock(self) -> bytes:
-        """The record that says how the times behind it are to be read."""
+    def _clock_record(self) -> bytes:
+        """Return the record that defines how to read the times after it."""
         record = {"t": "clock", "ref": "", "boot": self.boot, "offset": self.offset, "at": monotonic_ms()}
         return _pack(record, b"")
 
-    def _read_clock(self, record: dict[str, Any]) -> None:
-        """What stands behind it was written by this boot's clock or by another's, which tells us nothing: its
-        times are near the wall clock's as that stood then."""
-        self._distrust_windows()
-        offset, at = int(record["offset"]), int(record["at"])
+    def _apply_clock(self, record: dict[str, Any]) -> None:
+        """Read the following times as this boot's, or, if another boot wrote them, as wall-clock times: they
+        cannot be compared with this boot's clock, and are close to the wall clock of their time."""
+        self._mark_attempt_times_uncertain()
+        offset, written_at = int(record["offset"]), int(record["at"])
         same_boot = bool(self.boot) and record["boot"] == self.boot
-        self.boot_known = same_boot and at <= monotonic_ms()
-        self.offset = offset if self.boot_known else wall_offset_ms()
+        self.is_current_boot = same_boot and written_at <= monotonic_ms()
+        self.offset = offset if self.is_current_boot else wall_offset_ms()
 
-    def _distrust_windows(self) -> None:
-        """How long ago an attempt was made cannot be told across boots, nor by a wall clock that may have
-        been stepped: its window counts as over."""
-        if not self.boot_known:
+    def _mark_attempt_times_uncertain(self) -> None:
+        """Mark entries whose attempts may be of another boot. Neither the monotonic clock nor a wall clock
+        that may have been stepped shows how long ago that was: their deduplication window counts as over."""
+        if not self.is_current_boot:
             for entry in self.entries.values():
                 if entry.ran_at is not None or entry.trying_at is not None:
                     entry.uncertain = True
 
-    def _whole(self, entry: JournalEntry) -> bytes:
-        """The record of all that is known of a message."""
-        moved = self._moved(entry, self.offset)
-        facts = {name: getattr(moved, name) for name in JournalEntry.__slots__ if name != "body"}
-        return _pack({"t": "taken", **facts}, entry.body)
+    def _full_record(self, entry: JournalEntry) -> bytes:
+        """Return the record of a message's full state."""
+        shifted = self._shift_times(entry, self.offset)
+        fields = {name: getattr(shifted, name) for name in JournalEntry.__slots__ if name != "body"}
+        return _pack({"t": "taken", **fields}, entry.body)
 
     @staticmethod
-    def _moved(entry: JournalEntry, offset: int) -> JournalEntry:
-        """The same with times of another clock."""
+    def _shift_times(entry: JournalEntry, offset: int) -> JournalEntry:
+        """Return a copy with its times converted to another clock."""
         return replace(
             entry,
             deadline=entry.deadline + offset,
@@ -230,17 +243,20 @@
     # ---- the file
 
     def _append(self, data: bytes) -> bool:
-        """Whether the record stands in the file now, behind all that came before it."""
+        """Append the record after all pending ones. Returns whether it is in the file."""
         self._make_room(sum(map(len, self.pending)) + len(data))
         return self._write_pending() and self._write(data)
 
     def _make_room(self, needed: int) -> None:
-        """Write the file anew where it has no room for so many bytes, or where most of it is dead records."""
-        if self.size + needed > max(self.max_bytes - self.live_bytes - LATER, 0):
+        """Rewrite the file if it has no room for ``needed`` more bytes, or if most of it is dead records."""
+        if self.size + needed > max(self.max_bytes - self.live_bytes - RECORD_OVERHEAD, 0):
             self._rewrite()
-        elif self.size > max(TIDY_FROM, 3 * self.live_bytes) and time.monotonic() >= self.tidy_after:
+        elif (
+            self.size > max(MIN_REWRITE_BYTES, 3 * self.live_bytes)
+            and time.monotonic() >= self.next_rewrite_at
+        ):
             if not self._rewrite():
-                self.tidy_after = time.monotonic() + TIDY_AGAIN
+                self.next_rewrite_at = time.monotonic() + REWRITE_RETRY_DELAY
 
     def _write_pending(self) -> bool:
         while self.pending:
@@ -251,129 +267,132 @@
 
     def _write(self, data: bytes) -> bool:
         if self.size + len(data) > max(self.max_bytes - self.live_bytes, 0):
-            # It could not be written anew: what is left of the disk is for doing so later.
-            return self._failed(
+            # The rewrite failed. The remaining disk space is reserved for a later rewrite.
+            return self._report_failure(
                 f"no room for a record: {self.size} of {self.max_bytes} bytes, {self.live_bytes} live"
             )
         try:
-            if self.torn:
-                os.ftruncate(self.file, self.size)  # half a record would hide those behind it
-                self.torn = False
+            if self.has_torn_tail:
+                os.ftruncate(self.file, self.size)  # a partial record would hide the records after it
+                self.has_torn_tail = False
             write_all(self.file, data)
         except OSError as error:
-            self._cut_torn_tail()
-            return self._failed(f"cannot write: {error.strerror}")
+            self._truncate_torn_tail()
+            return self._report_failure(f"cannot write: {error.strerror}")
         self.size += len(data)
-        self._succeeded()
+        self._report_success()
         return True
 
-    def _cut_torn_tail(self) -> None:
+    def _truncate_torn_tail(self) -> None:
         try:
             os.ftruncate(self.file, self.size)
-            self.torn = False
+            self.has_torn_tail = False
         except OSError:
-            self.torn = True
+            self.has_torn_tail = True
 
-    def _failed(self, why: str) -> bool:
-        """Said once, not for each record."""
+    def _report_failure(self, reason: str) -> bool:
+        """Log the first failure in a row, not one for each record."""
         if not self.failing:
-            log.error("%s: %s; messages are refused until it can be written", self.path.name, why)
+            log.error("%s: %s; new messages are rejected until writes succeed", self.path.name, reason)
         self.failing = True
         return False
 
-    def _succeeded(self) -> None:
+    def _report_success(self) -> None:
         if self.failing:
-            log.info("%s: can be written again", self.path.name)
+            log.info("%s: writes succeed again", self.path.name)
         self.failing = False
 
     def _rewrite(self) -> bool:
-        """Write the live entries to a new file and put it in the old one's place. Whether that was done."""
+        """Write the live entries to a new file and rename it over the old one. Returns whether that
+        succeeded."""
         try:
-            new = os.open(
+            new_file = os.open(
                 self.temporary_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600
             )
         except OSError as error:
-            return self._cannot_rewrite(error)
+            return self._report_rewrite_failure(error)
         size = 0
-        records = chain([self._clock()], map(self._whole, self.entries.values()))
+        records = chain([self._clock_record()], map(self._full_record, self.entries.values()))
         try:
-            fcntl.flock(new, fcntl.LOCK_EX | fcntl.LOCK_NB)  # in the old one's place, it must be ours at once
+            # The new file must be locked before it takes the old one's name.
+            fcntl.flock(new_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             for data in records:
-                write_all(new, data)
+                write_all(new_file, data)
                 size += len(data)
             os.rename(self.temporary_path, self.path)
         except OSError as error:
-            close_quietly(new)
+            close_quietly(new_file)
             remove_quietly(self.temporary_path)
-            return self._cannot_rewrite(error)
+            return self._report_rewrite_failure(error)
         close_quietly(self.file)
-        self.file, self.size, self.torn = new, size, False
-        self.pending.clear()  # the entries are all that it would have said
+        self.file, self.size, self.has_torn_tail = new_file, size, False
+        self.pending.clear()  # the rewritten entries include the effect of all pending records
         return True
 
-    def _cannot_rewrite(self, error: OSError) -> bool:
-        if not self.failing and time.monotonic() >= self.tidy_after:
-            log.error("%s: cannot be written anew: %s", self.path.name, error.strerror)
+    def _report_rewrite_failure(self, error: OSError) -> bool:
+        if not self.failing and time.monotonic() >= self.next_rewrite_at:
+            log.error("%s: cannot be rewritten: %s", self.path.name, error.strerror)
         return False
 
     def _load(self) -> int:
-        """Read the file; what is damaged is passed over, and a torn tail is cut. The size that is left."""
+        """Read the file, skip damaged records and truncate a torn tail. Returns the remaining size."""
         data = read_all(self.file)
-        at = end = 0
-        while at < len(data):
-            payload = _payload_at(data, at)
+        position = end = 0
+        while position < len(data):
+            payload = _payload_at(data, position)
             if payload is None:
-                following = _next_record(data, at + 1)
+                following = _find_next_record(data, position + 1)
                 if following is None:
                     break
-                log.warning("journal: %d damaged bytes passed over at %d", following - at, at)
+                log.warning("journal: %d damaged bytes skipped at offset %d", following - position, position)
                 for entry in self.entries.values():
                     entry.uncertain = True
-                at = following
+                position = following
                 continue
-            self._replay(payload, at)
-            at += HEAD.size + len(payload)
-            end = at
+            self._replay(payload, position)
+            position += RECORD_HEADER.size + len(payload)
+            end = position
         if end < len(data):
-            log.warning("journal: torn tail of %d bytes cut", len(data) - end)
+            log.warning("journal: torn tail of %d bytes truncated", len(data) - end)
             self.size = end
-            self._cut_torn_tail()
+            self._truncate_torn_tail()
         return end
 
-    def _replay(self, payload: bytes, at: int) -> None:
-        head, _, body = payload.partition(b"\n")
+    def _replay(self, payload: bytes, position: int) -> None:
+        fields, _, body = payload.partition(b"\n")
         try:
-            record = json.loads(head)
+            record = json.loads(fields)
             match record["t"]:
                 case "taken":
                     del record["t"]
-                    self._add(self._moved(JournalEntry(body=body, **record), -self.offset))
+                    self._add(self._shift_times(JournalEntry(body=body, **record), -self.offset))
                 case "clock":
-                    self._read_clock(record)
+                    self._apply_clock(record)
                 case _:
                     self._apply(record)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            log.warning("journal: record at %d cannot be read: %s", at, error)
+            log.warning("journal: record at offset %d cannot be read: %s", position, error)
             for entry in self.entries.values():
                 entry.uncertain = True
 
 
 def _pack(record: dict[str, Any], body: bytes) -> bytes:
     payload = json.dumps(record, separators=(",", ":")).encode() + b"\n" + body
-    return HEAD.pack(MARK, len(payload), zlib.crc32(payload)) + payload
+    return RECORD_HEADER.pack(MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
-NO_CHANGE = _pack({"t": "told", "ref": ""}, b"")  # shows that the disk is well again, and says nothing
+NO_OP_RECORD = _pack({"t": "told", "ref": ""}, b"")  # changes no entry; its write shows that the disk works
 
 
 def record_weight(ref: str, key: str | None, body: bytes) -> int:
-    """What of a message's record grows with it; a name may take twice its length where it is escaped."""
+    """Return the bytes of a message's record that depend on its contents. Names count twice, as escaping can
+    double their length."""
     return len(body) + 2 * (len(ref) + len(key or ""))
 
 
-def _open_locked(path: Path, create: int) -> int:
+def _open_locked(path: Path, create_flag: int) -> int:
     while True:
-        file = os.open(path, os.O_RDWR | os.O_APPEND | os.O_CLOEXEC | create, 0o600)
+        file = os.open(path, os.O_RDWR | os.O_APPEND | os.O_CLOEXEC | create_flag, 0o600)
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             if os.path.samestat(os.fstat(file), os.stat(path)):
@@ -381,22 +400,22 @@
         except OSError:
             close_quietly(file)
             raise
-        close_quietly(file)  # it was written anew between our opening it and our lock
+        close_quietly(file)  # a rewrite replaced the file between the open and the lock
 
 
-def _payload_at(data: bytes, at: int) -> bytes | None:
-    if at + HEAD.size > len(data):
+def _payload_at(data: bytes, position: int) -> bytes | None:
+    if position + RECORD_HEADER.size > len(data):
         return None
-    mark, length, checksum = HEAD.unpack_from(data, at)
-    payload = data[at + HEAD.size : at + HEAD.size + length]
-    if mark != MARK or length > MOST_PAYLOAD or len(payload) < length or zlib.crc32(payload) != checksum:
+    magic, length, checksum = RECORD_HEADER.unpack_from(data, position)
+    payload = data[position + RECORD_HEADER.size : position + RECORD_HEADER.size + length]
+    if magic != MAGIC or length > MAX_PAYLOAD or len(payload) < length or zlib.crc32(payload) != checksum:
         return None
     return payload
 
 
-def _next_record(data: bytes, at: int) -> int | None:
-    while (at := data.find(MARK, at)) >= 0:
-        if _payload_at(data, at) is not None:
-            return at
-        at += 1
+def _find_next_record(data: bytes, position: int) -> int | None:
+    while (position := data.find(MAGIC, position)) >= 0:
+        if _payload_at(data, position) is not None:
+            return position
+        position += 1
     return None
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -134,7 +134,7 @@
     long = json.dumps(
         {"note": {"endpoints": [1]}, "endpoints": entries, "index": 42, "snapshot": True}, indent=indent
     )
-    assert len(long) > discovery.MOST_KEPT
+    assert len(long) > discovery.MAX_BUFFERED_BYTES
     data = "\n".join(["", small, "", long, "", small, ""]).encode()
     catalog = Catalog()
     feed = LineReader(reader(catalog))
@@ -142,7 +142,7 @@
     assert [(each.index, each.whole) for each in news] == [(1, False), (42, True), (1, False)]
     catalog.commit(news[1].staged, 42, True)
     assert set(catalog) == {line["name"] for line in entries}
-    assert feed.long is None and not feed.pending and not feed.begun
+    assert feed.large_object is None and not feed.partial_line and not feed.object_lines
 
 
 def endpoint_line(name: str) -> dict[str, Any]:
@@ -188,7 +188,7 @@
 
 def test_list_that_would_take_half_of_the_memory_is_an_error() -> None:
     small = reader(Catalog())
-    small.most_staged = 50_000
+    small.max_staged_bytes = 50_000
     with pytest.raises(ValueError, match="50000 bytes"):
         list(
             LineReader(small).feed(
@@ -206,8 +206,8 @@
 
 async def keep(kept: EndpointCache, catalog: Catalog, changed: set[int], whole: bool) -> None:
     kept.store(catalog, changed, whole)
-    if kept.writing is not None:
-        await kept.writing
+    if kept.rewrite_task is not None:
+        await kept.rewrite_task
 
 
 def content(catalog: Catalog) -> dict[int, list[Endpoint]]:
@@ -230,11 +230,11 @@
 async def test_change_that_comes_while_the_list_is_written_is_in_it(tmp_path: Path) -> None:
     catalog, kept = Catalog(), kept_list(tmp_path)
     kept.store(catalog, committed(catalog, 7, True, *(one(f"s{n}", n) for n in range(2000))), True)
-    await asyncio.sleep(endpoint_cache.PAUSE)
+    await asyncio.sleep(endpoint_cache.CHUNK_PAUSE)
     for version, change in enumerate([one("s1", 1, DELETED), one("s1999", 1999, DELETED), one("x", 9)], 8):
         kept.store(catalog, committed(catalog, version, False, change), False)
-    assert kept.writing is not None
-    await kept.writing
+    assert kept.rewrite_task is not None
+    await kept.rewrite_task
     restored = Catalog()
     assert kept.load(restored, known=0)
     assert restored.version == 10 and content(restored) == content(catalog)
@@ -307,7 +307,7 @@
     await keep(kept, catalog, committed(catalog, 7, True, one("a")), True)
     committed(catalog, 8, False, one("b"))
     await keep(other, catalog, {3}, False)
-    assert other.file is None and other.writing is None
+    assert other.file is None and other.rewrite_task is None
     kept.close()
     await keep(other, catalog, {3}, False)
     restored = Catalog()
