--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -1,8 +1,8 @@
-"""The tables of docs/CAPACITY.md, from what the slopes were measured to be: nothing in them is typed.
+"""Generate the tables of docs/CAPACITY.md from measured slopes; no figure in them is entered by hand.
 
     python -m fleetlab.capacity PAGE BEFORE.json [AFTER.json]
 
-writes them between the marks that the page holds. ``python -m fleetlab slopes --json`` makes the files.
+writes the tables between the marks of the page. ``python -m fleetlab slopes --json`` writes the JSON files.
 """
 
 from __future__ import annotations
@@ -15,243 +15,261 @@
 import typer
 
 from fleetlab.fit import Fit
-from fleetlab.slopes import Results, shown
-
-RELAYS = 2_400
-DESTINATIONS = 160_000
-ENDPOINTS = 224_000
-DOWN = 0.041 * DESTINATIONS  # destinations at any time
-RATE = 500  # messages a second for a relay
-PATIENCE = 24.0  # seconds that a message may be held
-TROUBLE = DOWN * PATIENCE * RATE / DESTINATIONS  # destinations down for which a relay holds a message
-HELD = 3_100_000  # messages a relay
-ZONE, REGION, RESTARTS = 160, 480, 880  # relays
-CHANGES = 4_600 / 86_400  # a second
-IN_FORCE = 17.0  # seconds for a change
-CORE, MEMORY, BYTES = 0.032, 128.0, 4_096.0  # for control: of a core, 10^6 bytes, bytes a second
-MACHINES = 8  # for discovery
-SLOTS = 300  # calls out at once, of a relay
-ANSWER = 0.4  # seconds that a client waits for an answer
-TODAY = 1_600  # destinations: figures up to here are today's fleets
+from fleetlab.slopes import Results, format_figure
+
+TARGET_RELAYS = 2_400
+TARGET_DESTINATIONS = 160_000
+TARGET_ENDPOINTS = 224_000
+DESTINATIONS_DOWN = 0.041 * TARGET_DESTINATIONS  # at any time
+MESSAGES_PER_SECOND = 500  # per relay
+MAX_HOLD_SECONDS = 24.0  # of a message
+# Destinations down for which a relay holds a message.
+DOWN_WITH_MESSAGE_HELD = DESTINATIONS_DOWN * MAX_HOLD_SECONDS * MESSAGES_PER_SECOND / TARGET_DESTINATIONS
+MESSAGES_HELD = 3_100_000  # per relay
+RELAYS_PER_ZONE, RELAYS_PER_REGION, RESTARTS_PER_DAY = 160, 480, 880
+CHANGES_PER_SECOND = 4_600 / 86_400  # changes of the endpoint list
+IN_FORCE_SECONDS = 17.0  # limit until a change is in force
+# Allowance of a relay for control work: share of a core, 10^6 bytes, bytes per second.
+CONTROL_CORE_SHARE, CONTROL_MEMORY_MB, CONTROL_BYTES_PER_SECOND = (
+    0.032,
+    128.0,
+    4_096.0,
+)
+DISCOVERY_MACHINES = 8
+CALL_SLOTS = 300  # calls in flight, per relay
+ANSWER_TIMEOUT_SECONDS = 0.4  # how long a client waits for an answer
+TODAY_DESTINATIONS = 1_600  # figures up to this size are those of present fleets
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A figure at the target: ``times`` the line of one measurement's figure at ``size``."""
+    """A figure at the target: ``factor`` times the value at ``size`` of the line of a measured figure."""
 
     role: str
-    what: str
-    run: str
+    description: str
+    measurement: str
     figure: str
     size: float
     unit: str
-    times: float = 1.0
-    limit: float | None = None  # in the same unit
-    limit_is: str = ""
-    alone: bool = False  # the slope's part alone: what stands at size 0 is another row's, or noise
+    factor: float = 1.0
+    limit: float | None = None  # in ``unit``
+    limit_text: str = ""
+    slope_only: bool = False  # without the intercept, which belongs to another row or is noise
 
 
-ROLES = (
+ROLE_ROWS = (
     Row(
         "relay",
         "memory, list from its configuration",
         "list-known",
         "resident_mb",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "MB",
-        limit=MEMORY,
-        limit_is="128 MB",
+        limit=CONTROL_MEMORY_MB,
+        limit_text="128 MB",
     ),
     Row(
         "relay",
         "memory, list from its watch",
         "list-watch",
         "resident_mb",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "MB",
-        limit=MEMORY,
-        limit_is="128 MB",
+        limit=CONTROL_MEMORY_MB,
+        limit_text="128 MB",
     ),
     Row(
         "relay",
         "the same at its peak",
         "list-watch",
         "peak_mb",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "MB",
-        limit=MEMORY,
-        limit_is="128 MB",
+        limit=CONTROL_MEMORY_MB,
+        limit_text="128 MB",
     ),
-    Row("relay", "disk, the list that it keeps", "list-watch", "disk_mb", DESTINATIONS, "MB"),
+    Row("relay", "disk, the list that it keeps", "list-watch", "disk_mb", TARGET_DESTINATIONS, "MB"),
     Row(
-        "relay", "processor of a start with the watch's list", "list-watch", "processor_s", DESTINATIONS, "s"
+        "relay",
+        "processor of a start with the watch's list",
+        "list-watch",
+        "processor_s",
+        TARGET_DESTINATIONS,
+        "s",
     ),
     Row(
         "relay",
         "processor, nothing to do",
         "list-known",
         "idle_share",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "of a core",
-        limit=CORE,
-        limit_is="3.2%",
+        limit=CONTROL_CORE_SHARE,
+        limit_text="3.2%",
     ),
     Row(
         "relay",
         "processor, 4,600 changes a day",
         "changes",
         "processor_share",
-        CHANGES,
+        CHANGES_PER_SECOND,
         "of a core",
-        limit=CORE,
-        limit_is="3.2%",
-        alone=True,
+        limit=CONTROL_CORE_SHARE,
+        limit_text="3.2%",
+        slope_only=True,
     ),
     Row(
         "relay",
         "bytes, 4,600 changes a day",
         "changes",
         "bytes_a_second",
-        CHANGES,
+        CHANGES_PER_SECOND,
         "B/s",
-        limit=BYTES,
-        limit_is="4 KB/s",
-        alone=True,
+        limit=CONTROL_BYTES_PER_SECOND,
+        limit_text="4 KB/s",
+        slope_only=True,
     ),
     Row(
         "relay",
         "time of a whole list at 4 KB a second",
         "list-watch",
         "list_mb",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "s",
-        times=1e6 / BYTES,
-        limit=IN_FORCE,
-        limit_is="17 s",
+        factor=1e6 / CONTROL_BYTES_PER_SECOND,
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "relay",
         "start with the list in its configuration",
         "list-known",
         "wall_ready_s",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "relay",
         "start until the watch's list is in force",
         "list-watch",
         "wall_in_force_s",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "relay",
         "a later start until its list is in force",
         "list-again",
         "wall_in_force_s",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "relay",
         "what a later start is told, at 4 KB a second",
         "list-again",
         "told_mb",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "s",
-        times=1e6 / BYTES,
-        limit=IN_FORCE,
-        limit_is="17 s",
+        factor=1e6 / CONTROL_BYTES_PER_SECOND,
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "relay",
         "a change until it is in force, median",
         "change-at-size",
         "wall_median_ms",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "ms",
-        limit=IN_FORCE * 1e3,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS * 1e3,
+        limit_text="17 s",
     ),
     Row(
         "relay",
         "processor, 500 messages a second, none held",
         "rate",
         "processor_share",
-        RATE,
+        MESSAGES_PER_SECOND,
         "of a core",
         limit=1.0,
-        limit_is="a core",
+        limit_text="a core",
     ),
     Row(
         "relay",
         "processor at rest, one message held for each of 492 down",
         "trouble",
         "idle_share",
-        TROUBLE,
+        DOWN_WITH_MESSAGE_HELD,
         "of a core",
         limit=1.0,
-        limit_is="a core",
+        limit_text="a core",
     ),
     Row(
         "relay",
         "a message's processor time, one held for each of 492 down",
         "trouble",
         "message_ms",
-        TROUBLE,
+        DOWN_WITH_MESSAGE_HELD,
         "ms",
-        limit=1e3 / RATE,
-        limit_is="2 ms (500 a second)",
+        limit=1e3 / MESSAGES_PER_SECOND,
+        limit_text="2 ms (500 a second)",
     ),
     Row(
         "relay",
         "a turn of decisions, 3.1 million held",
         "turn",
         "turn_ms",
-        HELD,
+        MESSAGES_HELD,
         "ms",
-        limit=1e3 / RATE,
-        limit_is="2 ms (500 a second)",
+        limit=1e3 / MESSAGES_PER_SECOND,
+        limit_text="2 ms (500 a second)",
     ),
     Row(
         "relay",
         "a message's processor time, 3.1 million held",
         "held",
         "message_ms",
-        HELD,
+        MESSAGES_HELD,
         "ms",
-        limit=1e3 / RATE,
-        limit_is="2 ms (500 a second)",
+        limit=1e3 / MESSAGES_PER_SECOND,
+        limit_text="2 ms (500 a second)",
+    ),
+    Row("relay", "memory, 3.1 million held", "held", "resident_mb", MESSAGES_HELD, "MB"),
+    Row("journal", "disk, 3.1 million held", "journal", "disk_mb", MESSAGES_HELD, "MB"),
+    Row(
+        "journal",
+        "memory of what it reads, 3.1 million held",
+        "journal",
+        "loaded_resident_mb",
+        MESSAGES_HELD,
+        "MB",
     ),
-    Row("relay", "memory, 3.1 million held", "held", "resident_mb", HELD, "MB"),
-    Row("journal", "disk, 3.1 million held", "journal", "disk_mb", HELD, "MB"),
-    Row("journal", "memory of what it reads, 3.1 million held", "journal", "loaded_resident_mb", HELD, "MB"),
     Row(
         "journal",
         "reading it, 3.1 million held",
         "journal",
         "load_s",
-        HELD,
+        MESSAGES_HELD,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s, as for a change",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s, as for a change",
     ),
     Row(
         "journal",
         "writing it anew, in one turn, 3.1 million held",
         "journal",
         "rewrite_s",
-        HELD,
+        MESSAGES_HELD,
         "s",
-        limit=ANSWER,
-        limit_is="0.4 s (a client waits)",
+        limit=ANSWER_TIMEOUT_SECONDS,
+        limit_text="0.4 s (a client waits)",
     ),
     Row(
         "journal",
@@ -260,9 +278,9 @@
         "message_us",
         320_000,
         "of a core",
-        times=RATE / 1e6,
+        factor=MESSAGES_PER_SECOND / 1e6,
         limit=1.0,
-        limit_is="a core",
+        limit_text="a core",
     ),
     Row(
         "journal",
@@ -271,63 +289,63 @@
         "written_bytes_each",
         320_000,
         "MB/s",
-        times=RATE / 1e6,
+        factor=MESSAGES_PER_SECOND / 1e6,
     ),
     Row(
         "journal",
         "start of a relay, 3.1 million held",
         "restart",
         "wall_ready_s",
-        HELD,
+        MESSAGES_HELD,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s, as for a change",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s, as for a change",
     ),
     Row(
         "discovery",
         "whole lists for all relays, bytes a machine",
         "list-watch",
         "list_mb",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "MB",
-        times=RELAYS / MACHINES,
+        factor=TARGET_RELAYS / DISCOVERY_MACHINES,
     ),
     Row(
         "discovery",
         "changes for all relays, bytes a machine",
         "changes",
         "bytes_a_second",
-        CHANGES,
+        CHANGES_PER_SECOND,
         "B/s",
-        times=RELAYS / MACHINES,
-        alone=True,
+        factor=TARGET_RELAYS / DISCOVERY_MACHINES,
+        slope_only=True,
     ),
     Row(
         "discovery",
         "all watches, one call at a time on each machine",
         "come-back-in-turn",
         "wall_list_s",
-        RELAYS / MACHINES,
+        TARGET_RELAYS / DISCOVERY_MACHINES,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "discovery",
         "all watches, one call at a time in all",
         "come-back-in-turn",
         "wall_list_s",
-        RELAYS,
+        TARGET_RELAYS,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "destination",
         "calls a second while it refuses connections",
         "down",
         "calls_a_second_down",
-        RELAYS,
+        TARGET_RELAYS,
         "calls/s",
     ),
     Row(
@@ -335,44 +353,49 @@
         "calls a second while it never answers",
         "down-silent",
         "calls_a_second_down",
-        RELAYS,
+        TARGET_RELAYS,
         "calls/s",
     ),
     Row(
-        "destination", "busiest second once it is back", "down", "calls_busiest_second_back", RELAYS, "calls"
+        "destination",
+        "busiest second once it is back",
+        "down",
+        "calls_busiest_second_back",
+        TARGET_RELAYS,
+        "calls",
     ),
     Row(
         "relay",
         "calls a second to destinations that refuse",
         "down",
         "calls_a_second_down",
-        RELAYS,
+        TARGET_RELAYS,
         "calls/s",
-        times=DOWN / RELAYS,
+        factor=DESTINATIONS_DOWN / TARGET_RELAYS,
     ),
     Row(
         "relay",
         "slots held by destinations that never answer",
         "down-silent",
         "slots_down",
-        RELAYS,
+        TARGET_RELAYS,
         "slots",
-        times=DOWN / RELAYS,
-        limit=SLOTS,
-        limit_is="300 slots",
+        factor=DESTINATIONS_DOWN / TARGET_RELAYS,
+        limit=CALL_SLOTS,
+        limit_text="300 slots",
     ),
     Row(
         "platform",
         "notices of messages for destinations that are down",
         "down",
         "undelivered_a_second_down",
-        RELAYS,
+        TARGET_RELAYS,
         "notices/s",
-        times=DOWN,
+        factor=DESTINATIONS_DOWN,
     ),
 )
 
-EVENTS = (
+EVENT_ROWS = (
     Row(
         "a machine: one relay",
         "watches, discovery one call at a time",
@@ -380,11 +403,16 @@
         "wall_list_s",
         1,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
-        "a machine: one relay", "whole list, where none is kept", "list-watch", "list_mb", DESTINATIONS, "MB"
+        "a machine: one relay",
+        "whole list, where none is kept",
+        "list-watch",
+        "list_mb",
+        TARGET_DESTINATIONS,
+        "MB",
     ),
     Row(
         "a rack: 20 relays",
@@ -393,205 +421,246 @@
         "wall_list_s",
         20,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "a rack: 20 relays",
         "whole lists, where none is kept",
         "list-watch",
         "list_mb",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "MB",
-        times=20,
+        factor=20,
     ),
     Row(
         "a zone: 160 relays",
         "watches, discovery one call at a time",
         "come-back-in-turn",
         "wall_list_s",
-        ZONE,
+        RELAYS_PER_ZONE,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "a zone: 160 relays",
         "whole lists, where none is kept",
         "list-watch",
         "list_mb",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "MB",
-        times=ZONE,
+        factor=RELAYS_PER_ZONE,
     ),
     Row(
         "a region cut: 480 relays",
         "watches, discovery one call at a time",
         "come-back-in-turn",
         "wall_list_s",
-        REGION,
+        RELAYS_PER_REGION,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "a region cut: 480 relays",
         "whole lists, where none is kept",
         "list-watch",
         "list_mb",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "MB",
-        times=REGION,
+        factor=RELAYS_PER_REGION,
     ),
     Row(
         "880 restarts in a day",
         "whole lists, where none is kept",
         "list-watch",
         "list_mb",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "MB",
-        times=RESTARTS,
+        factor=RESTARTS_PER_DAY,
     ),
     Row(
         "880 restarts in a day",
         "processor of the starts",
         "list-watch",
         "processor_s",
-        DESTINATIONS,
+        TARGET_DESTINATIONS,
         "s",
-        times=RESTARTS,
+        factor=RESTARTS_PER_DAY,
     ),
     Row(
         "880 restarts at once",
         "watches, discovery one call at a time",
         "come-back-in-turn",
         "wall_list_s",
-        RESTARTS,
+        RESTARTS_PER_DAY,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
     Row(
         "each relay's start",
         "journal with 3.1 million held",
         "restart",
         "wall_ready_s",
-        HELD,
+        MESSAGES_HELD,
         "s",
-        limit=IN_FORCE,
-        limit_is="17 s",
+        limit=IN_FORCE_SECONDS,
+        limit_text="17 s",
     ),
 )
 
 
-def at_target(row: Row, results: Results) -> tuple[float, Fit, float] | None:
-    """The figure, its line, and how far it was extrapolated; a size that was measured itself needs no line.
-    None where it was not measured."""
-    result = results.get(row.run)
+def estimate_at_target(row: Row, results: Results) -> tuple[float, Fit, float] | None:
+    """Return the figure, its line, and the factor by which it was extrapolated.
+
+    A size that was itself measured has its measured value and the factor 1. Returns None if the figure was
+    not measured.
+    """
+    result = results.get(row.measurement)
     if result is None or row.figure not in result["fits"]:
         return None
-    line = Fit(**result["fits"][row.figure])
+    fit = Fit(**result["fits"][row.figure])
     for point in result["points"]:
         if point["size"] == row.size and point["figures"].get(row.figure) is not None:
-            return row.times * point["figures"][row.figure], line, 1.0
-    value = line.slope * row.size if row.alone else line.at(row.size)
-    return row.times * value, line, line.beyond(row.size)
+            return row.factor * point["figures"][row.figure], fit, 1.0
+    figure = fit.slope * row.size if row.slope_only else fit.at(row.size)
+    return row.factor * figure, fit, fit.beyond(row.size)
 
 
 def rows_table(rows: tuple[Row, ...], before: Results, after: Results) -> str:
-    out = [
+    """Return the table that compares each row with its limit, before and after."""
+    lines = [
         "| role | figure at the target | before | after | allowed | before: within, or missing |"
         " after: the same | line | extrapolated |",
         "| --- | --- | ---: | ---: |" + " --- |" * 5,
     ]
     for row in rows:
-        old, new = at_target(row, before), at_target(row, after)
-        stretched = " / ".join(dict.fromkeys(_stretched(found) for found in (old, new) if found)) or "-"
-        out.append(
-            f"| {row.role} | {row.what} | {_amount(old, row)} | {_amount(new, row)} | {row.limit_is or '-'} |"
-            f" {_verdict(old, row)} | {_verdict(new, row)} | `{row.run}` {row.figure} | {stretched} |"
+        before_estimate, after_estimate = estimate_at_target(row, before), estimate_at_target(row, after)
+        extrapolation = (
+            " / ".join(
+                dict.fromkeys(
+                    _format_extrapolation(estimate)
+                    for estimate in (before_estimate, after_estimate)
+                    if estimate
+                )
+            )
+            or "-"
         )
-    return "\n".join(out)
+        lines.append(
+            f"| {row.role} | {row.description} | {_format_amount(before_estimate, row)} |"
+            f" {_format_amount(after_estimate, row)} | {row.limit_text or '-'} |"
+            f" {_format_verdict(before_estimate, row)} | {_format_verdict(after_estimate, row)} |"
+            f" `{row.measurement}` {row.figure} | {extrapolation} |"
+        )
+    return "\n".join(lines)
 
 
 def missing_table(before: Results, after: Results) -> str:
-    """What is over its limit, the worst first, as the newest program has it."""
-    found = []
-    for row in (*ROLES, *EVENTS):
-        old, new = (at_target(row, results) for results in (before, after))
-        if row.limit is not None and any(one is not None and one[0] > row.limit for one in (old, new)):
-            newest = new or old
+    """Return the table of figures over their limit, sorted by the excess in the newest results."""
+    over_limit = []
+    for row in (*ROLE_ROWS, *EVENT_ROWS):
+        before_estimate, after_estimate = (estimate_at_target(row, results) for results in (before, after))
+        if row.limit is not None and any(
+            item is not None and item[0] > row.limit for item in (before_estimate, after_estimate)
+        ):
+            newest = after_estimate or before_estimate
             assert newest is not None
-            found.append((newest[0] / row.limit, row, old, new))
-    found.sort(key=lambda one: -one[0])
-    out = ["| role or event | figure at the target | allowed | before | after |", "| --- |" + " --- |" * 4]
-    for _, row, old, new in found:
-        out.append(
-            f"| {row.role} | {row.what} | {row.limit_is} | {_verdict(old, row)} |" f" {_verdict(new, row)} |"
+            over_limit.append((newest[0] / row.limit, row, before_estimate, after_estimate))
+    over_limit.sort(key=lambda item: -item[0])
+    lines = ["| role or event | figure at the target | allowed | before | after |", "| --- |" + " --- |" * 4]
+    for _, row, before_estimate, after_estimate in over_limit:
+        lines.append(
+            f"| {row.role} | {row.description} | {row.limit_text} | {_format_verdict(before_estimate, row)} |"
+            f" {_format_verdict(after_estimate, row)} |"
         )
-    return "\n".join(out)
+    return "\n".join(lines)
 
 
-def _amount(found: tuple[float, Fit, float] | None, row: Row) -> str:
-    return "not measured" if found is None else f"{shown(found[0])} {row.unit}"
+def _format_amount(estimate: tuple[float, Fit, float] | None, row: Row) -> str:
+    """Format the estimated figure with its unit."""
+    return "not measured" if estimate is None else f"{format_figure(estimate[0])} {row.unit}"
 
 
-def _stretched(found: tuple[float, Fit, float]) -> str:
-    return "no" if found[2] == 1 else f"by {shown(found[2])}"
+def _format_extrapolation(estimate: tuple[float, Fit, float]) -> str:
+    """Format the factor by which the figure was extrapolated."""
+    return "no" if estimate[2] == 1 else f"by {format_figure(estimate[2])}"
 
 
-def _verdict(found: tuple[float, Fit, float] | None, row: Row) -> str:
-    if found is None or row.limit is None:
+def _format_verdict(estimate: tuple[float, Fit, float] | None, row: Row) -> str:
+    """Format whether the figure is within the limit of its row, and its ratio to the limit."""
+    if estimate is None or row.limit is None:
         return "-"
-    over = found[0] / row.limit
-    return f"**missing, by {shown(over)}**" if over > 1 else f"within ({shown(over)} of it)"
+    limit_ratio = estimate[0] / row.limit
+    return (
+        f"**missing, by {format_figure(limit_ratio)}**"
+        if limit_ratio > 1
+        else f"within ({format_figure(limit_ratio)} of it)"
+    )
 
 
-def lines_table(before: Results, after: Results) -> str:
-    """Each figure's line, and how much flatter or steeper it has become."""
-    out = [
+def fits_table(before: Results, after: Results) -> str:
+    """Return the table of fitted lines, with the ratio of the slopes after and before."""
+    lines = [
         "| run | figure | sizes | slope | intercept | R^2 | residual | slope after | R^2 | residual |"
         " after to before |",
         "| --- | --- | --- |" + " ---: |" * 8,
     ]
-    for name, figure in _figures(before, after):
-        old, new = _fit(before, name, figure), _fit(after, name, figure)
+    for name, figure in _list_figures(before, after):
+        before_fit, after_fit = _find_fit(before, name, figure), _find_fit(after, name, figure)
         sizes = " / ".join(
             dict.fromkeys(
-                f"{line.smallest:,.0f} to {line.largest:,.0f}" for line in (old, new) if line is not None
+                f"{fit.smallest:,.0f} to {fit.largest:,.0f}"
+                for fit in (before_fit, after_fit)
+                if fit is not None
             )
         )
         if not sizes:
             continue
         unit = (before.get(name) or after[name])["unit"]
-        ratio = shown(new.slope / old.slope) if old and new and old.slope else "-"
-        out.append(
+        ratio = (
+            format_figure(after_fit.slope / before_fit.slope)
+            if before_fit and after_fit and before_fit.slope
+            else "-"
+        )
+        lines.append(
             f"| `{name}` | {figure} | {sizes} {unit} |"
-            f" {_line(old)} | {shown(new.slope) if new else '-'} | {shown(new.r2) if new else '-'} |"
-            f" {shown(new.residual) if new else '-'} | {ratio} |"
+            f" {_format_line(before_fit)} | {format_figure(after_fit.slope) if after_fit else '-'} |"
+            f" {format_figure(after_fit.r2) if after_fit else '-'} |"
+            f" {format_figure(after_fit.residual) if after_fit else '-'} | {ratio} |"
         )
-    return "\n".join(out)
+    return "\n".join(lines)
 
 
-def _line(line: Fit | None) -> str:
-    if line is None:
+def _format_line(fit: Fit | None) -> str:
+    if fit is None:
         return "- | - | - | -"
-    return f"{shown(line.slope)} | {shown(line.intercept)} | {shown(line.r2)} | {shown(line.residual)}"
+    return (
+        f"{format_figure(fit.slope)} | {format_figure(fit.intercept)} |"
+        f" {format_figure(fit.r2)} | {format_figure(fit.residual)}"
+    )
 
 
 def points_table(before: Results, after: Results) -> str:
-    """Every figure at every size."""
-    out = ["| run | figure | size | before | after | after to before |", "| --- | --- |" + " ---: |" * 4]
-    for name, figure in _figures(before, after):
-        old, new = _points(before, name, figure), _points(after, name, figure)
-        for size in sorted(old.keys() | new.keys()):
-            a, b = old.get(size), new.get(size)
-            ratio = shown(b / a) if a and b is not None else "-"
-            out.append(f"| `{name}` | {figure} | {size:,} | {shown(a)} | {shown(b)} | {ratio} |")
-    return "\n".join(out)
-
-
-def _figures(before: Results, after: Results) -> list[tuple[str, str]]:
+    """Return the table of every figure at every size."""
+    lines = ["| run | figure | size | before | after | after to before |", "| --- | --- |" + " ---: |" * 4]
+    for name, figure in _list_figures(before, after):
+        before_points, after_points = _find_points(before, name, figure), _find_points(after, name, figure)
+        for size in sorted(before_points.keys() | after_points.keys()):
+            before_value, after_value = before_points.get(size), after_points.get(size)
+            ratio = (
+                format_figure(after_value / before_value) if before_value and after_value is not None else "-"
+            )
+            lines.append(
+                f"| `{name}` | {figure} | {size:,} | {format_figure(before_value)} |"
+                f" {format_figure(after_value)} | {ratio} |"
+            )
+    return "\n".join(lines)
+
+
+def _list_figures(before: Results, after: Results) -> list[tuple[str, str]]:
+    """Return every pair of measurement and figure name, without repeats."""
     return list(
         dict.fromkeys(
             (name, figure)
@@ -603,12 +672,12 @@
     )
 
 
-def _fit(results: Results, name: str, figure: str) -> Fit | None:
-    found = results.get(name, {}).get("fits", {}).get(figure)
-    return None if found is None else Fit(**found)
+def _find_fit(results: Results, name: str, figure: str) -> Fit | None:
+    fit = results.get(name, {}).get("fits", {}).get(figure)
+    return None if fit is None else Fit(**fit)
 
 
-def _points(results: Results, name: str, figure: str) -> dict[int, float | None]:
+def _find_points(results: Results, name: str, figure: str) -> dict[int, float | None]:
     return {
         point["size"]: point["figures"].get(figure)
         for point in results.get(name, {}).get("points", [])
@@ -617,66 +686,67 @@
 
 
 def runs_table(before: Results, after: Results) -> str:
-    """Where each was run, and what it does."""
-    out = [
+    """Return the table of the measurements: what they measure, and the program and load of each run."""
+    lines = [
         "| run | what it measures | of its repeats | program | begun | load, start and end |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for when, results in (("before", before), ("after", after)):
+    for period, results in (("before", before), ("after", after)):
         for name, result in results.items():
-            about = result["machine"]
-            what = result["what"] if when == "before" or name not in before else "the same"
+            machine = result["machine"]
+            description = result["what"] if period == "before" or name not in before else "the same"
             repeats = max(len(point["repeats"]) for point in result["points"])
-            changed = ", with changes" if about["changed"] else ""
-            out.append(
-                f"| `{name}` | {what} | the {result['counts']} of {repeats}, seed {result['seed']} |"
-                f" {when}: {about['commit']}{changed} | {about['started']} |"
-                f" {about['load']:.0f}, {about['load_at_end']:.0f} |"
+            changed = ", with changes" if machine["changed"] else ""
+            lines.append(
+                f"| `{name}` | {description} | the {result['counts']} of {repeats}, seed {result['seed']} |"
+                f" {period}: {machine['commit']}{changed} | {machine['started']} |"
+                f" {machine['load']:.0f}, {machine['load_at_end']:.0f} |"
             )
-    return "\n".join(out)
+    return "\n".join(lines)
 
 
 def machine_line(results: Results) -> str:
-    about: dict[str, Any] = next(iter(results.values()))["machine"]
+    """Return the sentence that describes the machine of the first result."""
+    machine: dict[str, Any] = next(iter(results.values()))["machine"]
     return (
-        f"Machine: {about['processor']}, {about['cores']} cores shared with other work, Python"
-        f" {about['python']}, Linux {about['kernel']}."
+        f"Machine: {machine['processor']}, {machine['cores']} cores shared with other work, Python"
+        f" {machine['python']}, Linux {machine['kernel']}."
     )
 
 
 def tables(before: Results, after: Results) -> dict[str, str]:
-    """By the name that the page's marks give."""
+    """Return the tables by the name in the marks of the page."""
     return {
         "missing": missing_table(before, after),
-        "roles": rows_table(ROLES, before, after),
-        "events": rows_table(EVENTS, before, after),
-        "lines": lines_table(before, after),
+        "roles": rows_table(ROLE_ROWS, before, after),
+        "events": rows_table(EVENT_ROWS, before, after),
+        "lines": fits_table(before, after),
         "points": points_table(before, after),
         "runs": machine_line(before) + "\n\n" + runs_table(before, after),
     }
 
 
-def filled(page: str, before: Results, after: Results) -> str:
-    """The page with its tables as measured. ValueError where one of the marks is missing."""
+def fill_tables(page: str, before: Results, after: Results) -> str:
+    """Return the page with its tables filled in. Raises ValueError if a mark is missing."""
     for name, text in tables(before, after).items():
-        start, end = f"<!-- {name} -->\n", f"<!-- end of {name} -->"
-        head, found, rest = page.partition(start)
-        _, closed, tail = rest.partition(end)
-        if not found or not closed:
+        start_text, end_text = f"<!-- {name} -->\n", f"<!-- end of {name} -->"
+        head, start_mark, rest = page.partition(start_text)
+        _, end_mark, tail = rest.partition(end_text)
+        if not start_mark or not end_mark:
             raise ValueError(f"the page has no mark {name}")
-        page = f"{head}{start}{text}\n{end}{tail}"
+        page = f"{head}{start_text}{text}\n{end_text}{tail}"
     return page
 
 
 def fill(
-    page: Annotated[Path, typer.Argument(help="with the marks of the tables")],
-    before: Annotated[Path, typer.Argument(help="JSON of python -m fleetlab slopes")],
-    after: Annotated[Path | None, typer.Argument(help="the same, of a later program")] = None,
+    page: Annotated[Path, typer.Argument(help="page with the marks of the tables")],
+    before: Annotated[Path, typer.Argument(help="JSON file of python -m fleetlab slopes")],
+    after: Annotated[Path | None, typer.Argument(help="the same for a later version of the program")] = None,
 ) -> None:
-    """Write the tables of the page."""
-    old: Results = json.loads(before.read_text())
-    new: Results = json.loads(after.read_text()) if after is not None else {}
-    page.write_text(filled(page.read_text(), old, new))
+    """Write the tables into the page."""
+    results_before: Results = json.loads(before.read_text())
+    results_after: Results = json.loads(after.read_text()) if after is not None else {}
+    page.write_text(fill_tables(page.read_text(), results_before, results_after))
 
 
 if __name__ == "__main__":
--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -1,9 +1,10 @@
-"""What a relay costs against its sizes, measured: each size in a process of its own, a line through them.
+"""Measure how the cost of a relay grows with its load, and fit a straight line to each figure.
 
-Measurements of a real relay start it by the deploy file's ``run`` and read the kernel's figures for its
-process; the others run the Pacer or the journal alone. Processor time is the process's own; what is wall
-clock says so in its name. Names of figures hold their unit: ``_mb`` (10^6 bytes), ``_s``, ``_ms``, ``_us``,
-``_share`` (processor seconds a second).
+Each size is measured in a process of its own. Measurements of a real relay start it with the ``run`` line of
+the deploy file and read the kernel's figures for its process; the others run the Pacer or the journal alone.
+Processor time is that of the measured process; the names of wall-clock figures begin with ``wall_``. Names of
+figures end with their unit: ``_mb`` (10^6 bytes), ``_s``, ``_ms``, ``_us``, ``_share`` (processor seconds per
+second).
 """
 
 from __future__ import annotations
@@ -43,35 +44,36 @@
 from starlingwick.settings import parse_settings
 
 ROOT = Path(__file__).parent.parent
-COMMAND = "FLEETLAB_COMMAND"  # in the environment: starts a real relay, in place of the deploy file's ``run``
-SECOND = 1_000_000_000
-MS = 1_000_000
-
-ENDPOINTS_EACH = 1.4  # of a destination, in the mean
-RELAYS = 2_400  # of the target, as the settings have it
-TRAFFIC = 7.5  # messages a second for one destination, from all relays
-BODY = b"x" * 200
-MEMORY_MB = 8192  # that a relay is allowed: a limit must not end a measurement
-PIECE = 65_536  # bytes that a relay reads at a time
-IN_TURN = 0.13  # seconds that discovery takes for a call, where it works through them one by one
-READY_WITHIN = 120.0  # seconds for a relay to start in
-LIST_WITHIN = 20.0  # seconds for a watch to bring the whole list: what takes longer has failed
-SETTLE = 1.0  # seconds between a relay's start and the first look at its figures
-LOOK = 5.0  # seconds over which a share is taken
-AT_REST = 0.05  # of a core: less is what an idle relay takes
-
-GONE = (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError)  # its peer, or the measurement
-
-Figures = dict[str, float | None]  # None: not reached
-Results = dict[str, dict[str, Any]]  # by measurement: what ``run`` gives
-
-
-def facts(most_held: int = 1_000_000) -> dict[str, Any]:
-    """The target's settings, in the form of a relay's configuration."""
+COMMAND = "FLEETLAB_COMMAND"  # environment variable: starts a relay instead of the deploy file's ``run``
+SECOND = 1_000_000_000  # nanoseconds
+MILLISECOND = 1_000_000  # nanoseconds
+
+ENDPOINTS_PER_DESTINATION = 1.4  # mean
+TARGET_RELAYS = 2_400
+MESSAGES_PER_SECOND = 7.5  # for one destination, from all relays
+MESSAGE_BODY = b"x" * 200
+MEMORY_LIMIT_MB = 8192  # high enough that the limit never ends a measurement
+READ_CHUNK_BYTES = 65_536  # size of one read of a relay
+SERIAL_CALL_SECONDS = 0.13  # time per call where discovery processes its calls serially
+READY_TIMEOUT_SECONDS = 120.0  # until a started relay answers
+LIST_TIMEOUT_SECONDS = 20.0  # until the watch has delivered the whole list; later counts as failed
+SETTLE_SECONDS = 1.0  # between the start of a relay and the first sample of its figures
+SAMPLE_SECONDS = 5.0  # over which a share of processor time is averaged
+IDLE_SHARE_LIMIT = 0.05  # of a core; a relay below it is idle
+
+# The peer closed the connection, or the measurement ended.
+CONNECTION_ENDED = (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError)
+
+Figures = dict[str, float | None]  # figure name to value; None if the value was not reached
+Results = dict[str, dict[str, Any]]  # measurement name to the result of ``run``
+
+
+def target_settings(most_held: int = 1_000_000) -> dict[str, Any]:
+    """Return the settings of the target platform in the form of a relay's configuration."""
     return {
         "azs": [f"z{n:02}" for n in range(15)],
         "kinds": ["m2"],
-        "balancers": RELAYS,
+        "balancers": TARGET_RELAYS,
         "discovery": "automatic",
         "weightSource": "list",
         "classes": [
@@ -107,17 +109,21 @@
     }
 
 
-Line = dict[str, Any]  # of the list
+ListEntry = dict[str, Any]  # one endpoint of the list
 
 
-def endpoints(destinations: int, seed: int, each: float = ENDPOINTS_EACH, address: str = "") -> list[Line]:
-    """The list's lines for so many destinations. Without an address, each has one of its own on the loopback
-    network where nobody listens."""
-    draw = random.Random(seed)
+def generate_endpoints(
+    destinations: int, seed: int, per_destination: float = ENDPOINTS_PER_DESTINATION, address: str = ""
+) -> list[ListEntry]:
+    """Return random endpoint list entries for this number of destinations.
+
+    Without an address, each endpoint gets its own loopback address on which nothing listens.
+    """
+    rng = random.Random(seed)
     return [
         {
-            "name": f"s-{draw.getrandbits(32):08x}{i:x}",
-            "zone": f"z{draw.randrange(15):02}",
+            "name": f"s-{rng.getrandbits(32):08x}{i:x}",
+            "zone": f"z{rng.randrange(15):02}",
             "type": "m2",
             "address": address or f"127.{1 + (i >> 16 & 127)}.{i >> 8 & 255}.{i & 255}:6379",
             "group": i % destinations,
@@ -125,140 +131,151 @@
             "weight": 20.0,
             "since_ms": 0,
         }
-        for i in range(max(destinations, int(destinations * each)))
+        for i in range(max(destinations, int(destinations * per_destination)))
     ]
 
 
-def listing(index: int, whole: bool, lines: list[Line]) -> bytes:
-    return json.dumps({"index": index, "snapshot": whole, "endpoints": lines}, separators=(",", ":")).encode()
+def encode_update(index: int, snapshot: bool, entries: list[ListEntry]) -> bytes:
+    """Encode an update of the endpoint list as discovery sends it."""
+    return json.dumps(
+        {"index": index, "snapshot": snapshot, "endpoints": entries}, separators=(",", ":")
+    ).encode()
 
 
-# ---- what a real relay talks to
+# ---- services that a real relay connects to
 
 
-class World:
+class StubServices:
     """Discovery's agent, and destinations that answer 200 at once, for relays on this machine."""
 
     def __init__(self) -> None:
-        self.ended = 0  # notices
-        self.calls = 0  # that destinations have answered
+        self.notices = 0
+        self.answered_calls = 0  # by all destinations
         self.agent = Agent(())
-        self.discovery = ""
+        self.discovery_address = ""
         self.servers: list[asyncio.Server] = []
 
-    async def start(self, lines: list[Line], call_time: float = 0.0) -> None:
-        """``call_time`` as the agent has it: seconds for each call, one by one."""
+    async def start(self, entries: list[ListEntry], call_time: float = 0.0) -> None:
+        """Start the agent. ``call_time`` is its seconds per call; calls are processed serially."""
 
-        def note(ref: str, result: str, wait: int) -> None:
-            self.ended += 1
+        def count_notice(message_id: str, result: str, wait: int) -> None:
+            self.notices += 1
 
-        self.agent = Agent(lines, on_notice=note, call_time=call_time)
-        self.discovery = await self.agent.listen("relays")
+        self.agent = Agent(entries, on_notice=count_notice, call_time=call_time)
+        self.discovery_address = await self.agent.listen("relays")
 
     @property
-    def told(self) -> Told:
-        """What went to all relays' watches."""
+    def sent_to_watches(self) -> Told:
+        """Return the agent's counters of what it has sent to the watches of all relays."""
         return self.agent.told["relays"]
 
-    async def destination(self) -> str:
-        """The address of a destination that answers."""
-        self.servers.append(await asyncio.start_server(self._answer, "127.0.0.1", 0, backlog=1024))
+    async def start_destination(self) -> str:
+        """Start a destination that answers, and return its address."""
+        self.servers.append(await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=1024))
         return "127.0.0.1:%d" % self.servers[-1].sockets[0].getsockname()[1]
 
-    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).lower()
                 await reader.readexactly(int(head.split(b"content-length:")[1].split(b"\r\n")[0]))
-                self.calls += 1
+                self.answered_calls += 1
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        except GONE:
+        except CONNECTION_ENDED:
             writer.transport.abort()
 
 
 class Client:
-    """One connection that hands messages in."""
+    """One client connection that sends messages to a relay."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self.parser, self.count = reader, writer, hiredis.Reader(), 0
+        self.reader, self.writer, self.parser, self.message_count = reader, writer, hiredis.Reader(), 0
 
-    def write(self, *words: str | bytes) -> None:
+    def send_command(self, *words: str | bytes) -> None:
+        """Send a command without waiting for its answer."""
         self.writer.write(packed(*words))
 
-    async def read(self) -> Any:
+    async def read_answer(self) -> Any:
+        """Return the next answer. Raises ConnectionError if the relay closes the connection."""
         while (answer := self.parser.gets()) is False:
             data = await self.reader.read(65536)
             if not data:
-                raise ConnectionError("the relay has closed")
+                raise ConnectionError("the relay closed the connection")
             self.parser.feed(data)
         return answer
 
-    def hand_in(self, dest: int) -> None:
-        self.count += 1
-        ref = f"{id(self):x}{self.count:x}"
-        self.write("ENQUEUE", "0", ref, f"c=event,d=600000,k={ref},dest={dest}", BODY)
+    def send_message(self, destination: int) -> None:
+        """Send an ENQUEUE command without waiting for its answer."""
+        self.message_count += 1
+        message_id = f"{id(self):x}{self.message_count:x}"
+        self.send_command(
+            "ENQUEUE", "0", message_id, f"c=event,d=600000,k={message_id},dest={destination}", MESSAGE_BODY
+        )
 
-    async def enqueue(self, dest: int) -> Any:
-        self.hand_in(dest)
-        return await self.read()
+    async def enqueue(self, destination: int) -> Any:
+        """Send a message and return the answer."""
+        self.send_message(destination)
+        return await self.read_answer()
 
 
-class Process:
-    """A real relay, started as deployed; the kernel's figures for it."""
+class RelayProcess:
+    """A real relay process, started as deployed, and the kernel's figures for it."""
 
-    def __init__(self, world: World, known: list[Line], folder: Path) -> None:
+    def __init__(self, services: StubServices, known_entries: list[ListEntry], folder: Path) -> None:
         self.folder = folder
         self.port = free_port()
-        self.state = folder / "state"
-        self.state.mkdir(exist_ok=True)
+        self.state_folder = folder / "state"
+        self.state_folder.mkdir(exist_ok=True)
         config = folder / "config.json"
         config.write_text(
             json.dumps(
                 {
                     "name": folder.name,
                     "listen": f"127.0.0.1:{self.port}",
-                    "discovery": world.discovery,
+                    "discovery": services.discovery_address,
                     "seed": "1",
-                    "limits": {"memory_mb": MEMORY_MB, "sockets": 1024, "disk_mb": 4000},
-                    "settings": facts(),
+                    "limits": {"memory_mb": MEMORY_LIMIT_MB, "sockets": 1024, "disk_mb": 4000},
+                    "settings": target_settings(),
                     "list": {"keep": True},
                     "known": {
-                        "index": world.agent.index if known else 0,
+                        "index": services.agent.index if known_entries else 0,
                         "snapshot": True,
-                        "endpoints": known,
+                        "endpoints": known_entries,
                     },
                 }
             )
         )
-        self.environment = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_STATE": str(self.state)}
+        self.environment = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_STATE": str(self.state_folder)}
         self.child: subprocess.Popen[bytes] | None = None
-        self.started = 0.0
+        self.started_at = 0.0
 
     def start(self) -> None:
-        run = os.environ.get(COMMAND) or run_command()
-        self.started = time.monotonic()
+        run_line = os.environ.get(COMMAND) or run_command()
+        self.started_at = time.monotonic()
         with open(self.folder / "log", "ab") as log:
-            self.child = subprocess.Popen(["/bin/sh", "-c", run], cwd=ROOT, env=self.environment, stderr=log)
+            self.child = subprocess.Popen(
+                ["/bin/sh", "-c", run_line], cwd=ROOT, env=self.environment, stderr=log
+            )
 
-    async def ready(self) -> Client:
-        """Once it answers PING. TimeoutError where it does not in time."""
-        async with asyncio.timeout(READY_WITHIN):
+    async def wait_until_ready(self) -> Client:
+        """Return a client once the relay answers PING. Raises TimeoutError if it does not in time."""
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             while True:
                 try:
                     client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
-                    client.write("PING")
-                    await client.read()
+                    client.send_command("PING")
+                    await client.read_answer()
                     return client
                 except ConnectionError:
                     await asyncio.sleep(0.005)
                     if self.child is None or self.child.poll() is not None:
                         raise RuntimeError((self.folder / "log").read_text()[-2000:]) from None
 
-    async def in_force(self, client: Client, dest: int) -> bool:
-        """Wait until it takes a message for this destination on; False where that comes about too late."""
-        until = time.monotonic() + LIST_WITHIN
-        while time.monotonic() < until:
-            if await client.enqueue(dest) == b"OK":
+    async def wait_until_accepting(self, client: Client, destination: int) -> bool:
+        """Wait until the relay accepts a message for this destination; return False on a timeout."""
+        give_up_at = time.monotonic() + LIST_TIMEOUT_SECONDS
+        while time.monotonic() < give_up_at:
+            if await client.enqueue(destination) == b"OK":
                 return True
             await asyncio.sleep(0.01)
         return False
@@ -268,8 +285,8 @@
         assert self.child is not None
         return self.child.pid
 
-    def processor(self) -> float:
-        """Seconds of processor time so far, all threads."""
+    def processor_seconds(self) -> float:
+        """Return the processor time so far of all threads, in seconds."""
         return (
             sum(
                 int((task / "schedstat").read_text().split()[0])
@@ -278,29 +295,32 @@
             / SECOND
         )
 
-    def resident(self, peak: bool = False) -> float:
-        """10^6 bytes."""
+    def resident_mb(self, peak: bool = False) -> float:
+        """Return the resident memory, or its peak, in 10^6 bytes."""
         status = Path(f"/proc/{self.pid}/status").read_text()
         return int(status.split("VmHWM:" if peak else "VmRSS:")[1].split()[0]) * 1024 / 1e6
 
-    async def share(self, seconds: float = LOOK) -> float:
-        """Processor seconds a second over the coming seconds."""
-        start, before = time.monotonic(), self.processor()
+    async def processor_share(self, seconds: float = SAMPLE_SECONDS) -> float:
+        """Sample the processor time for this many seconds; return processor seconds per second."""
+        sample_start, processor_before = time.monotonic(), self.processor_seconds()
         await asyncio.sleep(seconds)
-        return (self.processor() - before) / (time.monotonic() - start)
+        return (self.processor_seconds() - processor_before) / (time.monotonic() - sample_start)
+
+    async def wait_until_idle(self) -> float:
+        """Wait until the kept list is on the disk and the relay is idle.
 
-    async def at_rest(self) -> float:
-        """Wait until its list is on the disk and it has nothing more to do; for ten looks at most each, as a
-        program may keep none. How much disk that list takes, 10^6 bytes."""
-        file = self.state / "list"
+        Each wait ends after ten samples at the latest, because a program may keep no list. Returns the size
+        of the kept list in 10^6 bytes.
+        """
+        list_file = self.state_folder / "list"
         for _ in range(10):
-            await asyncio.sleep(SETTLE)
-            if file.exists():
+            await asyncio.sleep(SETTLE_SECONDS)
+            if list_file.exists():
                 break
         for _ in range(10):
-            if await self.share(SETTLE) < AT_REST:
+            if await self.processor_share(SETTLE_SECONDS) < IDLE_SHARE_LIMIT:
                 break
-        return file.stat().st_size / 1e6 if file.exists() else 0.0
+        return list_file.stat().st_size / 1e6 if list_file.exists() else 0.0
 
     def stop(self) -> None:
         if self.child is not None:
@@ -309,8 +329,11 @@
 
 
 @asynccontextmanager
-async def relay(world: World, known: list[Line], folder: Path) -> AsyncIterator[Process]:
-    process = Process(world, known, folder)
+async def running_relay(
+    services: StubServices, known_entries: list[ListEntry], folder: Path
+) -> AsyncIterator[RelayProcess]:
+    """Run a relay for the duration of the context."""
+    process = RelayProcess(services, known_entries, folder)
     process.start()
     try:
         yield process
@@ -323,79 +346,88 @@
 
 async def list_known(size: int, seed: int, folder: Path) -> Figures:
     """A relay whose configuration holds the list."""
-    lines = endpoints(size, seed)
-    world = World()
-    await world.start(lines)
-    async with relay(world, lines, folder) as one:
-        await one.ready()
-        ready, processor = time.monotonic() - one.started, one.processor()
-        await asyncio.sleep(SETTLE)
-        resident = one.resident()
+    entries = generate_endpoints(size, seed)
+    services = StubServices()
+    await services.start(entries)
+    async with running_relay(services, entries, folder) as process:
+        await process.wait_until_ready()
+        ready_seconds, processor_seconds = time.monotonic() - process.started_at, process.processor_seconds()
+        await asyncio.sleep(SETTLE_SECONDS)
+        resident_mb = process.resident_mb()
         return {
-            "resident_mb": resident,
-            "peak_mb": one.resident(peak=True),
-            "processor_s": processor,
-            "wall_ready_s": ready,
-            "idle_share": await one.share(),
+            "resident_mb": resident_mb,
+            "peak_mb": process.resident_mb(peak=True),
+            "processor_s": processor_seconds,
+            "wall_ready_s": ready_seconds,
+            "idle_share": await process.processor_share(),
         }
 
 
-async def last_answers(lines: list[Line], size: int, world: World) -> list[Line]:
-    """With the last of so many destinations at an address that answers."""
-    well = await world.destination()
-    return [{**line, "address": well} if line["group"] == size - 1 else line for line in lines]
+async def with_answering_last(entries: list[ListEntry], size: int, services: StubServices) -> list[ListEntry]:
+    """Return the entries with the last of ``size`` destinations moved to an address that answers."""
+    answering_address = await services.start_destination()
+    return [
+        {**entry, "address": answering_address} if entry["group"] == size - 1 else entry for entry in entries
+    ]
 
 
-async def list_watch(size: int, seed: int, folder: Path, each: float = ENDPOINTS_EACH) -> Figures:
+async def list_watch(
+    size: int, seed: int, folder: Path, per_destination: float = ENDPOINTS_PER_DESTINATION
+) -> Figures:
     """A relay that starts with no list, and gets it from its watch."""
-    world = World()
-    await world.start(await last_answers(endpoints(size, seed, each), size, world))
-    async with relay(world, [], folder) as one:
-        client = await one.ready()
-        if not await one.in_force(client, size - 1):
+    services = StubServices()
+    await services.start(
+        await with_answering_last(generate_endpoints(size, seed, per_destination), size, services)
+    )
+    async with running_relay(services, [], folder) as process:
+        client = await process.wait_until_ready()
+        if not await process.wait_until_accepting(client, size - 1):
             return {
                 "resident_mb": None,
                 "peak_mb": None,
                 "processor_s": None,
                 "wall_in_force_s": None,
-                "list_mb": len(world.agent.whole()) / 1e6,
+                "list_mb": len(services.agent.whole()) / 1e6,
                 "idle_share": None,
-                "watches_in_vain": world.told.watches,
+                "watches_in_vain": services.sent_to_watches.watches,
             }
-        in_force, processor = time.monotonic() - one.started, one.processor()
-        disk = await one.at_rest()
-        resident, told = one.resident(), len(world.agent.whole()) / 1e6
+        in_force_seconds, processor_seconds = (
+            time.monotonic() - process.started_at,
+            process.processor_seconds(),
+        )
+        disk_mb = await process.wait_until_idle()
+        resident_mb, list_mb = process.resident_mb(), len(services.agent.whole()) / 1e6
         return {
-            "resident_mb": resident,
-            "peak_mb": one.resident(peak=True),
-            "processor_s": processor,
-            "processor_at_rest_s": one.processor(),
-            "wall_in_force_s": in_force,
-            "list_mb": told,
-            "disk_mb": disk,
-            "idle_share": await one.share(),
+            "resident_mb": resident_mb,
+            "peak_mb": process.resident_mb(peak=True),
+            "processor_s": processor_seconds,
+            "processor_at_rest_s": process.processor_seconds(),
+            "wall_in_force_s": in_force_seconds,
+            "list_mb": list_mb,
+            "disk_mb": disk_mb,
+            "idle_share": await process.processor_share(),
         }
 
 
 async def list_again(size: int, seed: int, folder: Path) -> Figures:
     """The second start of a relay that got its list from its watch, and was killed once it was at rest."""
-    world = World()
-    await world.start(await last_answers(endpoints(size, seed), size, world))
-    async with relay(world, [], folder) as one:
-        if not await one.in_force(await one.ready(), size - 1):
+    services = StubServices()
+    await services.start(await with_answering_last(generate_endpoints(size, seed), size, services))
+    async with running_relay(services, [], folder) as process:
+        if not await process.wait_until_accepting(await process.wait_until_ready(), size - 1):
             return {"resident_mb": None, "processor_s": None, "wall_in_force_s": None, "told_mb": None}
-        await one.at_rest()
-        one.stop()
-        told = world.told.bytes
-        one.start()
-        in_force = await one.in_force(await one.ready(), size - 1)
-        wall, processor = time.monotonic() - one.started, one.processor()
-        await asyncio.sleep(SETTLE)
+        await process.wait_until_idle()
+        process.stop()
+        bytes_before = services.sent_to_watches.bytes
+        process.start()
+        accepting = await process.wait_until_accepting(await process.wait_until_ready(), size - 1)
+        wall_seconds, processor_seconds = time.monotonic() - process.started_at, process.processor_seconds()
+        await asyncio.sleep(SETTLE_SECONDS)
         return {
-            "resident_mb": one.resident(),
-            "processor_s": processor,
-            "wall_in_force_s": wall if in_force else None,
-            "told_mb": (world.told.bytes - told) / 1e6,
+            "resident_mb": process.resident_mb(),
+            "processor_s": processor_seconds,
+            "wall_in_force_s": wall_seconds if accepting else None,
+            "told_mb": (services.sent_to_watches.bytes - bytes_before) / 1e6,
         }
 
 
@@ -406,50 +438,57 @@
 
 async def changes(size: int, seed: int, folder: Path) -> Figures:
     """So many changes a second, each of one line, with a list of 1,600 destinations."""
-    lines = endpoints(1600, seed)
-    world = World()
-    await world.start(lines)
-    draw = random.Random(seed)
-    async with relay(world, lines, folder) as one:
-        await one.ready()
-        await asyncio.sleep(SETTLE)
-        start, before, sent, told = time.monotonic(), one.processor(), world.told.bytes, 0
-        while (now := time.monotonic() - start) < LOOK:
-            while told < now * size:
-                line = draw.choice(lines)
-                line["weight"] += 1
-                world.agent.publish([line])
-                told += 1
+    entries = generate_endpoints(1600, seed)
+    services = StubServices()
+    await services.start(entries)
+    rng = random.Random(seed)
+    async with running_relay(services, entries, folder) as process:
+        await process.wait_until_ready()
+        await asyncio.sleep(SETTLE_SECONDS)
+        sample_start, processor_before, bytes_before, published = (
+            time.monotonic(),
+            process.processor_seconds(),
+            services.sent_to_watches.bytes,
+            0,
+        )
+        while (elapsed := time.monotonic() - sample_start) < SAMPLE_SECONDS:
+            while published < elapsed * size:
+                entry = rng.choice(entries)
+                entry["weight"] += 1
+                services.agent.publish([entry])
+                published += 1
             await asyncio.sleep(0.005)
-        lasted = time.monotonic() - start
+        duration = time.monotonic() - sample_start
         return {
-            "processor_share": (one.processor() - before) / lasted,
-            "bytes_a_second": (world.told.bytes - sent) / lasted,
+            "processor_share": (process.processor_seconds() - processor_before) / duration,
+            "bytes_a_second": (services.sent_to_watches.bytes - bytes_before) / duration,
         }
 
 
 async def change_at_size(size: int, seed: int, folder: Path) -> Figures:
     """200 new destinations in a list of this size, one after the other: until the first message for each is
     taken on, and what change and message cost together."""
-    lines = endpoints(size, seed)
-    world = World()
-    await world.start(lines)
-    async with relay(world, lines, folder) as one:
-        client = await one.ready()
-        while not world.told.watching:
+    entries = generate_endpoints(size, seed)
+    services = StubServices()
+    await services.start(entries)
+    async with running_relay(services, entries, folder) as process:
+        client = await process.wait_until_ready()
+        while not services.sent_to_watches.watching:
             await asyncio.sleep(0.01)
-        await asyncio.sleep(SETTLE)
-        idle = await one.share()
-        start, before, waits = time.monotonic(), one.processor(), []
+        await asyncio.sleep(SETTLE_SECONDS)
+        idle_share = await process.processor_share()
+        sample_start, processor_before, waits = time.monotonic(), process.processor_seconds(), []
         for i in range(200):
-            told = time.monotonic()
-            world.agent.publish([{**lines[0], "name": f"new-{i}", "group": size + i}])
+            published_at = time.monotonic()
+            services.agent.publish([{**entries[0], "name": f"new-{i}", "group": size + i}])
             while await client.enqueue(size + i) != b"OK":
                 await asyncio.sleep(0)
-            waits.append(time.monotonic() - told)
-        spent = one.processor() - before - idle * (time.monotonic() - start)
+            waits.append(time.monotonic() - published_at)
+        processor_spent = (
+            process.processor_seconds() - processor_before - idle_share * (time.monotonic() - sample_start)
+        )
         return {
-            "processor_ms": max(0.0, spent) / 200 * 1e3,
+            "processor_ms": max(0.0, processor_spent) / 200 * 1e3,
             "wall_median_ms": statistics.median(waits) * 1e3,
             "wall_most_ms": max(waits) * 1e3,
         }
@@ -457,127 +496,145 @@
 
 async def rate(size: int, seed: int, folder: Path) -> Figures:
     """So many messages a second, for 1,600 destinations that answer at once."""
-    world = World()
-    lines = endpoints(1600, seed, address=await world.destination())
-    await world.start(lines)
-    draw = random.Random(seed)
-    async with relay(world, lines, folder) as one:
-        clients = [await one.ready() for _ in range(4)]
-        await asyncio.sleep(SETTLE)
+    services = StubServices()
+    entries = generate_endpoints(1600, seed, address=await services.start_destination())
+    await services.start(entries)
+    rng = random.Random(seed)
+    async with running_relay(services, entries, folder) as process:
+        clients = [await process.wait_until_ready() for _ in range(4)]
+        await asyncio.sleep(SETTLE_SECONDS)
         answers: Counter[bytes] = Counter()
 
-        async def listen(client: Client) -> None:
+        async def count_answers(client: Client) -> None:
             while True:
-                answers[bytes(str(await client.read()), "latin-1")] += 1
-
-        listeners = [asyncio.create_task(listen(client)) for client in clients]
-        start, before, calls, told = time.monotonic(), one.processor(), world.calls, 0
-        while (now := time.monotonic() - start) < LOOK:
-            while told < now * size:
-                clients[told % 4].hand_in(draw.randrange(1600))
-                told += 1
+                answers[bytes(str(await client.read_answer()), "latin-1")] += 1
+
+        listeners = [asyncio.create_task(count_answers(client)) for client in clients]
+        sample_start, processor_before, calls_before, sent_count = (
+            time.monotonic(),
+            process.processor_seconds(),
+            services.answered_calls,
+            0,
+        )
+        while (elapsed := time.monotonic() - sample_start) < SAMPLE_SECONDS:
+            while sent_count < elapsed * size:
+                clients[sent_count % 4].send_message(rng.randrange(1600))
+                sent_count += 1
             await asyncio.sleep(0.002)
-        lasted = time.monotonic() - start
-        done, processor = world.calls - calls, one.processor() - before
+        duration = time.monotonic() - sample_start
+        delivered, processor_spent = (
+            services.answered_calls - calls_before,
+            process.processor_seconds() - processor_before,
+        )
         for listener in listeners:
             listener.cancel()
         return {
-            "processor_share": processor / lasted,
-            "delivered_a_second": done / lasted,
-            "resident_mb": one.resident(),
+            "processor_share": processor_spent / duration,
+            "delivered_a_second": delivered / duration,
+            "resident_mb": process.resident_mb(),
         }
 
 
 async def held(size: int, seed: int, folder: Path) -> Figures:
     """So many messages held for destinations that refuse connections (one in 24 of 1,600); then 20 messages a
     second for destinations that are well."""
-    return await _held(size, seed, folder, 1_600, 66)
+    return await _measure_held(size, seed, folder, 1_600, 66)
 
 
 async def trouble(size: int, seed: int, folder: Path) -> Figures:
     """So many of 10,000 destinations refuse connections, with one message held for each; then 20 messages
     a second for destinations that are well."""
-    return await _held(size, seed, folder, 10_000, size)
+    return await _measure_held(size, seed, folder, 10_000, size)
 
 
-async def _held(size: int, seed: int, folder: Path, destinations: int, down: int) -> Figures:
-    world = World()
-    well = await world.destination()
-    lines = [
-        line if line["group"] < down else {**line, "address": well} for line in endpoints(destinations, seed)
+async def _measure_held(
+    size: int, seed: int, folder: Path, destinations: int, destinations_down: int
+) -> Figures:
+    services = StubServices()
+    answering_address = await services.start_destination()
+    entries = [
+        entry if entry["group"] < destinations_down else {**entry, "address": answering_address}
+        for entry in generate_endpoints(destinations, seed)
     ]
-    await world.start(lines)
-    async with relay(world, lines, folder) as one:
-        client = await one.ready()
-        await asyncio.sleep(SETTLE)
-        empty = one.resident()
-        for at in range(0, size, 50):
-            for i in range(at, min(at + 50, size)):
-                client.hand_in(i % down)
-            for _ in range(at, min(at + 50, size)):
-                if (answer := await client.read()) != b"OK":
-                    raise RuntimeError(f"not taken on: {answer}")
-        resident, idle = one.resident(), await one.share()
-        start, before, told = time.monotonic(), one.processor(), 0
-        while (now := time.monotonic() - start) < LOOK:
-            while told < now * 20:
-                client.hand_in(down + told % 1500)
-                told += 1
+    await services.start(entries)
+    async with running_relay(services, entries, folder) as process:
+        client = await process.wait_until_ready()
+        await asyncio.sleep(SETTLE_SECONDS)
+        resident_empty = process.resident_mb()
+        for batch_start in range(0, size, 50):
+            for i in range(batch_start, min(batch_start + 50, size)):
+                client.send_message(i % destinations_down)
+            for _ in range(batch_start, min(batch_start + 50, size)):
+                if (answer := await client.read_answer()) != b"OK":
+                    raise RuntimeError(f"message not accepted: {answer}")
+        resident_mb, idle_share = process.resident_mb(), await process.processor_share()
+        sample_start, processor_before, sent_count = time.monotonic(), process.processor_seconds(), 0
+        while (elapsed := time.monotonic() - sample_start) < SAMPLE_SECONDS:
+            while sent_count < elapsed * 20:
+                client.send_message(destinations_down + sent_count % 1500)
+                sent_count += 1
             await asyncio.sleep(0.002)
-        busy = (one.processor() - before) / (time.monotonic() - start)
+        busy_share = (process.processor_seconds() - processor_before) / (time.monotonic() - sample_start)
         return {
-            "bytes_each": (resident - empty) * 1e6 / size,
-            "resident_mb": resident,
-            "idle_share": idle,
-            "message_ms": (busy - idle) / 20 * 1e3,
-            "ended_meanwhile": world.ended,
+            "bytes_each": (resident_mb - resident_empty) * 1e6 / size,
+            "resident_mb": resident_mb,
+            "idle_share": idle_share,
+            "message_ms": (busy_share - idle_share) / 20 * 1e3,
+            "ended_meanwhile": services.notices,
         }
 
 
 async def restart(size: int, seed: int, folder: Path) -> Figures:
     """A start with so many messages on record, for destinations that refuse connections."""
-    lines = endpoints(1600, seed)
-    world = World()
-    await world.start(lines)
-    process = Process(world, lines, folder)
-    journal = Journal(process.state, 4_000_000_000)
+    entries = generate_endpoints(1600, seed)
+    services = StubServices()
+    await services.start(entries)
+    process = RelayProcess(services, entries, folder)
+    journal = Journal(process.state_folder, 4_000_000_000)
     deadline = monotonic_ms() + 600_000
     for i in range(size):
-        journal.accept(JournalEntry(f"m{i:015x}", "event", i % 66, f"k{i:015x}", deadline, BODY))
-    disk = journal.size / 1e6
+        journal.accept(JournalEntry(f"m{i:015x}", "event", i % 66, f"k{i:015x}", deadline, MESSAGE_BODY))
+    disk_mb = journal.size / 1e6
     journal.close()
     process.start()
     try:
-        await process.ready()
-        ready, processor = time.monotonic() - process.started, process.processor()
+        await process.wait_until_ready()
+        ready_seconds, processor_seconds = time.monotonic() - process.started_at, process.processor_seconds()
         return {
-            "wall_ready_s": ready,
-            "processor_s": processor,
-            "resident_mb": process.resident(),
-            "disk_mb": disk,
+            "wall_ready_s": ready_seconds,
+            "processor_s": processor_seconds,
+            "resident_mb": process.resident_mb(),
+            "disk_mb": disk_mb,
         }
     finally:
         process.stop()
 
 
-async def _come_back(size: int, seed: int, folder: Path, in_turn: float) -> Figures:
-    world = World()
-    await world.start(endpoints(1600, seed), in_turn)
+async def _measure_come_back(size: int, seed: int, folder: Path, call_seconds: float) -> Figures:
+    services = StubServices()
+    await services.start(generate_endpoints(1600, seed), call_seconds)
     processes = []
     for n in range(size):
         (folder / f"r{n}").mkdir()
-        processes.append(Process(world, [], folder / f"r{n}"))
-    start = time.monotonic()
+        processes.append(RelayProcess(services, [], folder / f"r{n}"))
+    first_start = time.monotonic()
     try:
         for process in processes:
             process.start()
-        clients = await asyncio.gather(*(process.ready() for process in processes))
-        ready = time.monotonic() - start
-        listed = await asyncio.gather(
-            *(process.in_force(client, 1599) for process, client in zip(processes, clients, strict=True))
+        clients = await asyncio.gather(*(process.wait_until_ready() for process in processes))
+        ready_seconds = time.monotonic() - first_start
+        accepting = await asyncio.gather(
+            *(
+                process.wait_until_accepting(client, 1599)
+                for process, client in zip(processes, clients, strict=True)
+            )
         )
-        whole = time.monotonic() - start if all(listed) else None
-        return {"wall_ready_s": ready, "wall_list_s": whole, "told_mb": world.told.bytes / 1e6}
+        list_seconds = time.monotonic() - first_start if all(accepting) else None
+        return {
+            "wall_ready_s": ready_seconds,
+            "wall_list_s": list_seconds,
+            "told_mb": services.sent_to_watches.bytes / 1e6,
+        }
     finally:
         for process in processes:
             process.stop()
@@ -585,77 +642,87 @@
 
 async def come_back(size: int, seed: int, folder: Path) -> Figures:
     """So many relays start at once with no list, on one machine; discovery answers at once."""
-    return await _come_back(size, seed, folder, 0.0)
+    return await _measure_come_back(size, seed, folder, 0.0)
 
 
 async def come_back_in_turn(size: int, seed: int, folder: Path) -> Figures:
     """The same, where discovery works through its calls one by one, in 0.13 s each."""
-    return await _come_back(size, seed, folder, IN_TURN)
+    return await _measure_come_back(size, seed, folder, SERIAL_CALL_SECONDS)
 
 
 # ---- the Pacer and the journal alone
 
 
-def settings(relays: int = RELAYS) -> io.Settings:
-    return parse_settings({**facts(), "balancers": relays})
+def parsed_settings(relays: int = TARGET_RELAYS) -> io.Settings:
+    """Return the target's settings for this number of relays."""
+    return parse_settings({**target_settings(), "balancers": relays})
 
 
-def resident_here() -> float:
-    """This process, 10^6 bytes."""
+def own_resident_mb() -> float:
+    """Return the resident memory of this process in 10^6 bytes."""
     gc.collect()
     with open("/proc/self/statm") as statm:
         return int(statm.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-class Names:
-    """What discovery's reader needs of a configuration."""
+class DiscoveryConfig:
+    """The part of a configuration that the reader of discovery's updates uses."""
 
-    zone_names = tuple(facts()["azs"])
+    zone_names = tuple(target_settings()["azs"])
     kind_names = ("m2",)
-    memory_bytes = MEMORY_MB * 1_000_000
+    memory_bytes = MEMORY_LIMIT_MB * 1_000_000
 
 
 async def state(size: int, seed: int, folder: Path) -> Figures:
     """The list read and taken over by reader, catalog and Pacer alone; then 2,000 messages at random."""
-    text = listing(1, True, endpoints(size, seed)) + b"\n"
-    at_start, start, catalog = resident_here(), time.process_time(), Catalog()
-    lines = discovery.LineReader(discovery.EntryParser(Names, catalog.stage))  # type: ignore[arg-type]
-    (news,) = (news for at in range(0, len(text), PIECE) for news in lines.feed(text[at : at + PIECE]))
-    read = time.process_time() - start
-    pacer, start = Pacer(settings(), seed), time.process_time()
-    catalog.commit(news.staged, news.index, news.whole)
+    update_line = encode_update(1, True, generate_endpoints(size, seed)) + b"\n"
+    resident_at_start, start, catalog = own_resident_mb(), time.process_time(), Catalog()
+    reader = discovery.LineReader(discovery.EntryParser(DiscoveryConfig, catalog.stage))  # type: ignore[arg-type]
+    (update,) = (
+        update
+        for offset in range(0, len(update_line), READ_CHUNK_BYTES)
+        for update in reader.feed(update_line[offset : offset + READ_CHUNK_BYTES])
+    )
+    read_seconds = time.process_time() - start
+    pacer, start = Pacer(parsed_settings(), seed), time.process_time()
+    catalog.commit(update.staged, update.index, update.whole)
     pacer.handle(0, [io.EndpointUpdate(io.UpdateScope.SNAPSHOT, ())])
-    taken = time.process_time() - start
-    kept = resident_here() - at_start
-    out: list[io.Send] = []
-    draw, now, events = random.Random(seed), 2 * SECOND, 2000
+    take_over_seconds = time.process_time() - start
+    kept_mb = own_resident_mb() - resident_at_start
+    in_flight: list[io.Send] = []
+    rng, now, message_count = random.Random(seed), 2 * SECOND, 2000
     start = time.process_time()
-    for i in range(events):  # 500 a second, each answered well 100 messages later
+    for i in range(message_count):  # 500 per second, each answered OK 100 messages later
         now += SECOND // 500
-        dest = draw.randrange(size)
-        batch: list[io.Event] = [io.MessageArrived(f"m{i}", 0, 0, dest, f"k{i}", 24 * SECOND)]
-        if dest not in pacer.loaded_destinations:
-            batch.insert(0, io.DestinationLoaded(dest, tuple(one.entry() for one in catalog.find(dest))))
-        if len(out) > 100:
-            sent = out.pop(0)
+        destination = rng.randrange(size)
+        batch: list[io.Event] = [io.MessageArrived(f"m{i}", 0, 0, destination, f"k{i}", 24 * SECOND)]
+        if destination not in pacer.loaded_destinations:
+            batch.insert(
+                0,
+                io.DestinationLoaded(
+                    destination, tuple(endpoint.entry() for endpoint in catalog.find(destination))
+                ),
+            )
+        if len(in_flight) > 100:
+            sent = in_flight.pop(0)
             batch.append(
                 io.AttemptEnded(
                     sent.message_id, 0, sent.endpoint, io.Status.OK, SECOND // 5, True, 0, False, None
                 )
             )
-        out += [action for action in pacer.handle(now, batch) if isinstance(action, io.Send)]
+        in_flight += [action for action in pacer.handle(now, batch) if isinstance(action, io.Send)]
     return {
-        "read_s": read,
-        "take_over_s": taken,
-        "kept_mb": kept,
-        "list_mb": len(text) / 1e6,
-        "message_us": (time.process_time() - start) / events * 1e6,
+        "read_s": read_seconds,
+        "take_over_s": take_over_seconds,
+        "kept_mb": kept_mb,
+        "list_mb": len(update_line) / 1e6,
+        "message_us": (time.process_time() - start) / message_count * 1e6,
     }
 
 
 async def turn(size: int, seed: int, folder: Path) -> Figures:
     """A turn of decisions with so many messages held for destinations of which no call is ever answered."""
-    pacer, down = Pacer(settings(), seed), 66
+    pacer, destinations_down = Pacer(parsed_settings(), seed), 66
     pacer.handle(
         0,
         [
@@ -668,148 +735,176 @@
             )
         ],
     )
-    at_start, now = resident_here(), 2 * SECOND
+    resident_at_start, now = own_resident_mb(), 2 * SECOND
     batch = 50
     for i in range(0, size, batch):
         now += SECOND // 1000
         pacer.handle(
             now,
             [
-                io.MessageArrived(f"b{n:015x}", 0, 0, n % down, f"k{n:015x}", 600 * SECOND)
+                io.MessageArrived(f"b{n:015x}", 0, 0, n % destinations_down, f"k{n:015x}", 600 * SECOND)
                 for n in range(i, min(i + batch, size))
             ],
         )
-    kept, times = resident_here() - at_start, []
+    kept_mb, times = own_resident_mb() - resident_at_start, []
     for i in range(200):
         now += SECOND // 500
         start = time.process_time()
-        pacer.handle(now, [io.MessageArrived(f"w{i}", 0, 0, down + i, f"w{i}", 600 * SECOND)])
+        pacer.handle(now, [io.MessageArrived(f"w{i}", 0, 0, destinations_down + i, f"w{i}", 600 * SECOND)])
         times.append(time.process_time() - start)
-    return {"turn_ms": statistics.median(times) * 1e3, "bytes_each": kept * 1e6 / size}
+    return {"turn_ms": statistics.median(times) * 1e3, "bytes_each": kept_mb * 1e6 / size}
 
 
 class Fleet:
-    """Pacers that share one destination with one endpoint, in steps of simulated time."""
+    """Pacers that share one destination with one endpoint, in simulated time."""
 
     def __init__(self, relays: int, seed: int, silent: bool) -> None:
-        self.draw = random.Random(seed)
-        self.silent = silent  # a call to a destination that is down gets no answer; else no connection
+        self.rng = random.Random(seed)
+        self.silent = silent  # if down, the destination never answers; else it refuses connections
         self.down = False
-        self.pacers = [Pacer(settings(relays), seed + n) for n in range(relays)]
+        self.pacers = [Pacer(parsed_settings(relays), seed + n) for n in range(relays)]
         self.queue: list[tuple[int, int, int, io.Event]] = []
-        self.count = 0
-        self.calls: list[int] = []  # when each went out
-        self.held = 0  # nanoseconds of slots so far
-        self.ended = 0  # messages that came back undelivered
+        self.sequence = 0
+        self.call_times: list[int] = []  # start time of each call, in nanoseconds
+        self.slot_time = 0  # total time that calls have occupied slots, in nanoseconds
+        self.undelivered = 0  # messages rejected or failed
         entry = io.EndpointEntry("s-1", 0, 0, 1, io.Availability.RUNNING, 20.0)
         for n in range(relays):
-            self._turn(0, n, io.EndpointUpdate(io.UpdateScope.SNAPSHOT, (entry,)))
-        self._put(0, 0, io.MessageArrived("", 0, 0, 1, None, 0))
+            self._handle(0, n, io.EndpointUpdate(io.UpdateScope.SNAPSHOT, (entry,)))
+        self._schedule(0, 0, io.MessageArrived("", 0, 0, 1, None, 0))
 
-    def _put(self, when: int, relay: int, event: io.Event) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (when, self.count, relay, event))
+    def _schedule(self, due_at: int, relay_number: int, event: io.Event) -> None:
+        self.sequence += 1
+        heapq.heappush(self.queue, (due_at, self.sequence, relay_number, event))
 
-    def _turn(self, now: int, relay: int, event: io.Event) -> None:
-        pacer = self.pacers[relay]
+    def _handle(self, now: int, relay_number: int, event: io.Event) -> None:
+        pacer = self.pacers[relay_number]
         for action in pacer.handle(now, [event]):
             match action:
-                case io.Send(call, host, stop_at):
-                    self.calls.append(now)
-                    status, after = io.Status.OK, 100 * MS
+                case io.Send(message_id, endpoint, stop_at):
+                    self.call_times.append(now)
+                    status, delay = io.Status.OK, 100 * MILLISECOND
                     if self.down:
-                        status, after = (
+                        status, delay = (
                             (io.Status.TIMEOUT, stop_at - now)
                             if self.silent
-                            else (io.Status.CONNECT_FAILED, MS)
+                            else (io.Status.CONNECT_FAILED, MILLISECOND)
                         )
-                    self.held += after
-                    attempt = pacer.messages[call].attempts - 1
-                    self._put(
-                        now + after,
-                        relay,
+                    self.slot_time += delay
+                    attempt = pacer.messages[message_id].attempts - 1
+                    self._schedule(
+                        now + delay,
+                        relay_number,
                         io.AttemptEnded(
-                            call, attempt, host, status, after, status is io.Status.OK, 0, False, None
+                            message_id,
+                            attempt,
+                            endpoint,
+                            status,
+                            delay,
+                            status is io.Status.OK,
+                            0,
+                            False,
+                            None,
                         ),
                     )
-                case io.SetTimer(after, token):
-                    self._put(now + after, relay, io.TimerExpired(token))
+                case io.SetTimer(delay, token):
+                    self._schedule(now + delay, relay_number, io.TimerExpired(token))
                 case io.Reject() | io.Fail():
-                    self.ended += 1
+                    self.undelivered += 1
                 case _:
                     pass
 
-    def run(self, until: int) -> None:
-        """Messages come in at TRAFFIC a second, each at any of the relays."""
+    def run_until(self, until: int) -> None:
+        """Run until this time. MESSAGES_PER_SECOND messages arrive per second, each at a random relay."""
         while self.queue and self.queue[0][0] <= until:
-            now, _, relay, event = heapq.heappop(self.queue)
+            now, _, relay_number, event = heapq.heappop(self.queue)
             if isinstance(event, io.MessageArrived) and not event.message_id:
-                self._put(now + round(self.draw.expovariate(TRAFFIC) * SECOND), 0, event)
-                self.count += 1
-                event = io.MessageArrived(f"m{self.count}", 0, 0, 1, f"k{self.count}", 24 * SECOND)
-                relay = self.draw.randrange(len(self.pacers))
-            self._turn(now, relay, event)
+                self._schedule(now + round(self.rng.expovariate(MESSAGES_PER_SECOND) * SECOND), 0, event)
+                self.sequence += 1
+                event = io.MessageArrived(f"m{self.sequence}", 0, 0, 1, f"k{self.sequence}", 24 * SECOND)
+                relay_number = self.rng.randrange(len(self.pacers))
+            self._handle(now, relay_number, event)
 
-    def within(self, start: int, end: int) -> int:
-        return sum(start <= at < end for at in self.calls)
+    def calls_between(self, start: int, end: int) -> int:
+        """Return the number of calls started from ``start`` to before ``end``, in nanoseconds."""
+        return sum(start <= at < end for at in self.call_times)
 
 
-async def _down(size: int, seed: int, silent: bool) -> Figures:
+async def _measure_down(size: int, seed: int, silent: bool) -> Figures:
     fleet = Fleet(size, seed, silent)
-    warm, down = 60 * SECOND, 300 * SECOND
-    fleet.run(warm)
+    warmup, outage = 60 * SECOND, 300 * SECOND
+    fleet.run_until(warmup)
     fleet.down = True
-    fleet.run(warm + 100 * SECOND)
-    start, held_before = time.process_time(), fleet.held
-    fleet.run(warm + down)
-    settled = (down - 100 * SECOND) / SECOND
-    spent, held_down = time.process_time() - start, fleet.held - held_before
+    fleet.run_until(warmup + 100 * SECOND)
+    processor_start, slot_time_before = time.process_time(), fleet.slot_time
+    fleet.run_until(warmup + outage)
+    counted_seconds = (outage - 100 * SECOND) / SECOND
+    processor_spent, slot_time_down = (
+        time.process_time() - processor_start,
+        fleet.slot_time - slot_time_before,
+    )
     fleet.down = False
-    back, ended = warm + down, fleet.ended
-    fleet.run(back + 30 * SECOND)
-    busiest = max(fleet.within(back + n * SECOND, back + (n + 1) * SECOND) for n in range(14))
+    outage_end, undelivered_before = warmup + outage, fleet.undelivered
+    fleet.run_until(outage_end + 30 * SECOND)
+    busiest_calls = max(
+        fleet.calls_between(outage_end + n * SECOND, outage_end + (n + 1) * SECOND) for n in range(14)
+    )
     return {
-        "calls_a_second_down": fleet.within(back - down + 100 * SECOND, back) / settled,
-        "slots_down": held_down / SECOND / settled,
-        "undelivered_a_second_down": ended / (down / SECOND),
-        "calls_first_second_back": fleet.within(back, back + SECOND),
-        "calls_busiest_second_back": busiest,
-        "calls_a_second_14s_back": fleet.within(back, back + 14 * SECOND) / 14,
-        "undelivered_30s_back": fleet.ended - ended,
-        "processor_us_down": spent / settled / TRAFFIC * 1e6,
+        "calls_a_second_down": fleet.calls_between(outage_end - outage + 100 * SECOND, outage_end)
+        / counted_seconds,
+        "slots_down": slot_time_down / SECOND / counted_seconds,
+        "undelivered_a_second_down": undelivered_before / (outage / SECOND),
+        "calls_first_second_back": fleet.calls_between(outage_end, outage_end + SECOND),
+        "calls_busiest_second_back": busiest_calls,
+        "calls_a_second_14s_back": fleet.calls_between(outage_end, outage_end + 14 * SECOND) / 14,
+        "undelivered_30s_back": fleet.undelivered - undelivered_before,
+        "processor_us_down": processor_spent / counted_seconds / MESSAGES_PER_SECOND * 1e6,
     }
 
 
 async def down(size: int, seed: int, folder: Path) -> Figures:
     """Calls from so many relays to one destination, for which 7.5 messages a second come in all: it refuses
     connections for 300 s (the first 100 s are not counted), then is back."""
-    return await _down(size, seed, silent=False)
+    return await _measure_down(size, seed, silent=False)
 
 
 async def down_silent(size: int, seed: int, folder: Path) -> Figures:
     """The same for a destination that takes calls and never answers them."""
-    return await _down(size, seed, silent=True)
+    return await _measure_down(size, seed, silent=True)
 
 
 async def journal(size: int, seed: int, folder: Path) -> Figures:
     """So many messages on record: to write and end one more, to write the file anew, and to read it."""
-    kept = Journal(folder, 16_000_000_000)
+    message_journal = Journal(folder, 16_000_000_000)
     for i in range(size):
-        kept.accept(JournalEntry(f"m{i:015x}", "event", i % 160_000, f"k{i:015x}", 1 << 41, BODY))
-    disk, before, start, times, passes = kept.size, kept.size, time.process_time(), [], 2000
-    for i in range(passes):
-        begun = time.process_time()
-        kept.accept(JournalEntry(f"n{i:015x}", "event", i % 160_000, f"k{i:015x}", 1 << 41, BODY))
-        kept.record_attempt_start(f"n{i:015x}", "z01", 1 << 41)
-        kept.record_outcome(f"n{i:015x}", False)
-        kept.record_finish(f"n{i:015x}", None)
-        times.append(time.process_time() - begun)
-    written, each = kept.size - before, (time.process_time() - start) / passes
+        message_journal.accept(
+            JournalEntry(f"m{i:015x}", "event", i % 160_000, f"k{i:015x}", 1 << 41, MESSAGE_BODY)
+        )
+    disk_bytes, bytes_before, start, times, pass_count = (
+        message_journal.size,
+        message_journal.size,
+        time.process_time(),
+        [],
+        2000,
+    )
+    for i in range(pass_count):
+        pass_start = time.process_time()
+        message_journal.accept(
+            JournalEntry(f"n{i:015x}", "event", i % 160_000, f"k{i:015x}", 1 << 41, MESSAGE_BODY)
+        )
+        message_journal.record_attempt_start(f"n{i:015x}", "z01", 1 << 41)
+        message_journal.record_outcome(f"n{i:015x}", False)
+        message_journal.record_finish(f"n{i:015x}", None)
+        times.append(time.process_time() - pass_start)
+    written_bytes, seconds_each = (
+        message_journal.size - bytes_before,
+        (time.process_time() - start) / pass_count,
+    )
     start = time.process_time()
-    kept._rewrite()
-    rewrite = time.process_time() - start
-    kept.close()
-    del kept
+    message_journal._rewrite()
+    rewrite_seconds = time.process_time() - start
+    message_journal.close()
+    del message_journal
     child = subprocess.run(
         [
             sys.executable,
@@ -822,32 +917,35 @@
         capture_output=True,
         text=True,
     )
-    load, resident, found = map(float, child.stdout.split())
-    if found != size:
-        raise RuntimeError(f"{found} of {size} entries read")
+    load_seconds, resident_mb, entries_found = map(float, child.stdout.split())
+    if entries_found != size:
+        raise RuntimeError(f"{entries_found} of {size} journal entries were read")
     return {
-        "disk_mb": disk / 1e6,
-        "message_us": each * 1e6,
-        "written_bytes_each": written / passes,
-        "rewrite_s": rewrite,
-        "load_s": load,
-        "loaded_resident_mb": resident,
+        "disk_mb": disk_bytes / 1e6,
+        "message_us": seconds_each * 1e6,
+        "written_bytes_each": written_bytes / pass_count,
+        "rewrite_s": rewrite_seconds,
+        "load_s": load_seconds,
+        "loaded_resident_mb": resident_mb,
     }
 
 
 def load_journal(folder: str) -> None:
-    """Print what reading it takes: processor seconds, resident 10^6 bytes, messages found."""
-    before, start = resident_here(), time.process_time()
-    kept = Journal(Path(folder), 16_000_000_000)
-    print(time.process_time() - start, resident_here() - before, len(kept.entries))
+    """Read a journal; print the processor seconds, the resident 10^6 bytes and the number of messages."""
+    resident_before, start = own_resident_mb(), time.process_time()
+    message_journal = Journal(Path(folder), 16_000_000_000)
+    print(time.process_time() - start, own_resident_mb() - resident_before, len(message_journal.entries))
 
 
-# ---- which, at which sizes
+# ---- the measurements and their sizes
 
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """``run`` at each size, so many times. The least counts, or the mean where chance is in it."""
+    """A measurement, run ``repeats`` times at each size.
+
+    The least value of the repeats is used, or with ``mean`` their mean, where the outcome is random.
+    """
 
     run: Callable[[int, int, Path], Coroutine[Any, Any, Figures]]
     unit: str
@@ -880,39 +978,39 @@
 
 
 def measure(name: str, size: int, seed: int) -> Figures:
-    """One size, in this process."""
+    """Measure one size in this process."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(MEASUREMENTS[name].run(size, seed, Path(folder)))
 
 
 def in_a_process(name: str, size: int, seed: int) -> Figures:
-    """One size, in a process of its own. CalledProcessError where it fails; what it says goes to stderr."""
+    """Measure one size in a new process, which shares stderr. Raises CalledProcessError if it fails."""
     code = "import json, sys; from fleetlab import slopes; "
     code += "print(json.dumps(slopes.measure(sys.argv[1], int(sys.argv[2]), int(sys.argv[3]))))"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code, name, str(size), str(seed)],
         cwd=ROOT,
         check=True,
         stdout=subprocess.PIPE,
         text=True,
     )
-    figures: Figures = json.loads(done.stdout)
+    figures: Figures = json.loads(completed.stdout)
     return figures
 
 
-def summary(repeats: list[Figures], mean: bool) -> Figures:
-    """What of several runs of one size counts; None where one of them did not get there."""
-    out: Figures = {}
+def summarize(repeats: list[Figures], mean: bool) -> Figures:
+    """Combine the repeats of one size; a figure is None if one repeat did not reach it."""
+    figures: Figures = {}
     for key in repeats[0]:
         values = [value for run in repeats if (value := run[key]) is not None]
-        whole = len(values) == len(repeats)
-        out[key] = (statistics.fmean(values) if mean else min(values)) if whole else None
-    return out
+        complete = len(values) == len(repeats)
+        figures[key] = (statistics.fmean(values) if mean else min(values)) if complete else None
+    return figures
 
 
-def lines_through(points: list[dict[str, Any]]) -> dict[str, dict[str, float]]:
-    """A line for each figure that was reached at four sizes at least."""
-    out = {}
+def fit_lines(points: list[dict[str, Any]]) -> dict[str, dict[str, float]]:
+    """Fit a line to each figure that was reached at four sizes or more."""
+    fits = {}
     for key in sorted({key for point in points for key in point["figures"]}):
         reached = [
             (point["size"], point["figures"][key])
@@ -920,12 +1018,12 @@
             if point["figures"].get(key) is not None
         ]
         if len(reached) >= fit.FEWEST:
-            out[key] = asdict(fit.line([size for size, _ in reached], [value for _, value in reached]))
-    return out
+            fits[key] = asdict(fit.line([size for size, _ in reached], [value for _, value in reached]))
+    return fits
 
 
-def machine() -> dict[str, Any]:
-    """Where a run was made, and of which program."""
+def describe_machine() -> dict[str, Any]:
+    """Describe the machine of a run and the version of the program."""
 
     def git(*words: str) -> str:
         return subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True).stdout.strip()
@@ -947,38 +1045,41 @@
     }
 
 
-def run(name: str, seed: int, say: Callable[[str], None]) -> dict[str, Any]:
-    """One measurement at all its sizes, and the lines. A size that fails is said to, and has no figures."""
-    one, points = MEASUREMENTS[name], []
-    about = machine()
-    for size in one.sizes:
+def run(name: str, seed: int, report: Callable[[str], None]) -> dict[str, Any]:
+    """Run one measurement at all its sizes and fit the lines.
+
+    A size of which a repeat fails gets the exit status in ``failed``; if all fail, it has no figures.
+    """
+    measurement, points = MEASUREMENTS[name], []
+    machine_facts = describe_machine()
+    for size in measurement.sizes:
         repeats, failed = [], ""
-        for n in range(one.repeats):
+        for n in range(measurement.repeats):
             try:
                 repeats.append(in_a_process(name, size, seed + n))
             except subprocess.CalledProcessError as error:
                 failed = f"exit status {error.returncode}"
-        figures = summary(repeats, one.mean) if repeats else {}
+        figures = summarize(repeats, measurement.mean) if repeats else {}
         points.append({"size": size, "figures": figures, "repeats": repeats, "failed": failed})
-        say(f"{name} {size}: {json.dumps(figures)} {failed}")
-    about["load_at_end"] = os.getloadavg()[0]
+        report(f"{name} {size}: {json.dumps(figures)} {failed}")
+    machine_facts["load_at_end"] = os.getloadavg()[0]
     return {
-        "what": " ".join((one.run.__doc__ or "").split()),
-        "unit": one.unit,
+        "what": " ".join((measurement.run.__doc__ or "").split()),
+        "unit": measurement.unit,
         "seed": seed,
-        "counts": "mean" if one.mean else "least",
-        "machine": about,
+        "counts": "mean" if measurement.mean else "least",
+        "machine": machine_facts,
         "points": points,
-        "fits": lines_through(points),
+        "fits": fit_lines(points),
     }
 
 
 def slopes(
-    names: Annotated[list[str] | None, typer.Argument(help="which; all if none is named")] = None,
-    seed: Annotated[int, typer.Option(help="of the lists and of chance")] = 1,
-    file: Annotated[Path | None, typer.Option("--json", help="keep what is measured here")] = None,
+    names: Annotated[list[str] | None, typer.Argument(help="measurements to run; all by default")] = None,
+    seed: Annotated[int, typer.Option(help="seed of the endpoint lists and of all random draws")] = 1,
+    file: Annotated[Path | None, typer.Option("--json", help="file to keep the results in")] = None,
 ) -> None:
-    """Measure what a relay costs against its sizes, four at least; the lines and their residuals."""
+    """Measure the cost of a relay at four sizes or more; print the fitted lines and their residuals."""
     wanted = names or list(MEASUREMENTS)
     unknown = [name for name in wanted if name not in MEASUREMENTS]
     if unknown:
@@ -988,18 +1089,20 @@
         results[name] = run(name, seed, lambda text: typer.echo(text, err=True))
         if file is not None:
             file.write_text(json.dumps(results, indent=1) + "\n")
-        typer.echo(table(name, results[name]))
+        typer.echo(markdown_table(name, results[name]))
 
 
-def table(name: str, result: dict[str, Any]) -> str:
-    """One measurement as a table of the pages, from what ``run`` gave."""
+def markdown_table(name: str, result: dict[str, Any]) -> str:
+    """Format the result of ``run`` as a Markdown table."""
     keys = list(dict.fromkeys(key for point in result["points"] for key in point["figures"]))
     rows = [f"| {result['unit']} | " + " | ".join(keys) + " |", "| ---: " * (len(keys) + 1) + "|"]
     for point in result["points"]:
         rows.append(
             f"| {point['size']:,} | "
             + " | ".join(
-                "failed" if point["failed"] and not point["figures"] else shown(point["figures"].get(key))
+                "failed"
+                if point["failed"] and not point["figures"]
+                else format_figure(point["figures"].get(key))
                 for key in keys
             )
             + " |"
@@ -1012,16 +1115,18 @@
     ):
         rows.append(
             f"| {label} | "
-            + " | ".join(shown(result["fits"][key][field]) if key in result["fits"] else "-" for key in keys)
+            + " | ".join(
+                format_figure(result["fits"][key][field]) if key in result["fits"] else "-" for key in keys
+            )
             + " |"
         )
-    about = result["machine"]
-    commit = about["commit"] + (" with changes" if about["changed"] else "")
+    machine_facts = result["machine"]
+    commit = machine_facts["commit"] + (" with changes" if machine_facts["changed"] else "")
     return "\n".join(
         [
             f"`{name}`: {result['what']} The {result['counts']} of the repeats, seed {result['seed']}, commit"
-            f" {commit}, {about['started']}, load {about['load']:.0f} to {about['load_at_end']:.0f} on"
-            f" {about['cores']} cores.",
+            f" {commit}, {machine_facts['started']}, load {machine_facts['load']:.0f} to"
+            f" {machine_facts['load_at_end']:.0f} on {machine_facts['cores']} cores.",
             "",
             *rows,
             "",
@@ -1029,8 +1134,8 @@
     )
 
 
-def shown(value: float | None) -> str:
-    """Three figures that count; a dash for what was not reached."""
+def format_figure(value: float | None) -> str:
+    """Format a value with three significant digits, or as a dash if it was not reached."""
     if value is None:
         return "-"
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -74,11 +74,11 @@
     points: list[dict[str, Any]] = [
         {"size": n, "figures": {"a": 2.0 * n, "b": None if n == 8 else 1.0}} for n in (1, 2, 4, 8)
     ]
-    lines = slopes.lines_through(points)
+    lines = slopes.fit_lines(points)
     assert set(lines) == {"a"} and lines["a"]["slope"] == pytest.approx(2)
-    assert slopes.summary([{"a": 3.0}, {"a": None}], mean=False) == {"a": None}
-    assert slopes.summary([{"a": 3.0}, {"a": 1.0}], mean=False) == {"a": 1.0}
-    assert slopes.summary([{"a": 3.0}, {"a": 1.0}], mean=True) == {"a": 2.0}
+    assert slopes.summarize([{"a": 3.0}, {"a": None}], mean=False) == {"a": None}
+    assert slopes.summarize([{"a": 3.0}, {"a": 1.0}], mean=False) == {"a": 1.0}
+    assert slopes.summarize([{"a": 3.0}, {"a": 1.0}], mean=True) == {"a": 2.0}
 
 
 @pytest.mark.parametrize(
@@ -98,16 +98,16 @@
 
 def test_destination_that_is_down_is_called_and_served_again_once_it_is_back() -> None:
     fleet = slopes.Fleet(4, seed=1, silent=False)
-    fleet.run(20 * slopes.SECOND)
-    assert fleet.ended == 0 and fleet.within(10 * slopes.SECOND, 20 * slopes.SECOND) > 40
+    fleet.run_until(20 * slopes.SECOND)
+    assert fleet.undelivered == 0 and fleet.calls_between(10 * slopes.SECOND, 20 * slopes.SECOND) > 40
     fleet.down = True
-    fleet.run(80 * slopes.SECOND)
-    assert fleet.ended > 0
-    fleet.down, before = False, fleet.ended
-    fleet.run(200 * slopes.SECOND)
-    fleet.ended = 0
-    fleet.run(220 * slopes.SECOND)
-    assert before and fleet.ended == 0
+    fleet.run_until(80 * slopes.SECOND)
+    assert fleet.undelivered > 0
+    fleet.down, before = False, fleet.undelivered
+    fleet.run_until(200 * slopes.SECOND)
+    fleet.undelivered = 0
+    fleet.run_until(220 * slopes.SECOND)
+    assert before and fleet.undelivered == 0
 
 
 @pytest.mark.parametrize(
@@ -126,15 +126,15 @@
     monkeypatch: pytest.MonkeyPatch, name: str, size: int, reached: str
 ) -> None:
     """Started as deployed: what the deploy file builds must be there."""
-    monkeypatch.setattr(slopes, "LOOK", 0.2)
-    monkeypatch.setattr(slopes, "SETTLE", 0.1)
+    monkeypatch.setattr(slopes, "SAMPLE_SECONDS", 0.2)
+    monkeypatch.setattr(slopes, "SETTLE_SECONDS", 0.1)
     figures = slopes.measure(name, size, seed=1)
     assert figures[reached] is not None
 
 
 def test_list_that_a_relay_cannot_take_is_not_reached(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(slopes, "LIST_WITHIN", 0.5)
-    monkeypatch.setattr(slopes, "endpoints", lambda size, seed, each: [])
+    monkeypatch.setattr(slopes, "LIST_TIMEOUT_SECONDS", 0.5)
+    monkeypatch.setattr(slopes, "generate_endpoints", lambda size, seed, per_destination: [])
     assert slopes.measure("list-watch", 20, seed=1)["wall_in_force_s"] is None
 
 
@@ -172,8 +172,8 @@
         one = slopes.MEASUREMENTS[name]
         for point in result["points"]:
             if point["repeats"]:
-                assert point["figures"] == slopes.summary(point["repeats"], one.mean), (name, point["size"])
-        again = slopes.lines_through(result["points"])
+                assert point["figures"] == slopes.summarize(point["repeats"], one.mean), (name, point["size"])
+        again = slopes.fit_lines(result["points"])
         assert again.keys() == result["fits"].keys()
         for key, line in again.items():
             assert line == pytest.approx(result["fits"][key], rel=1e-6, abs=1e-9), (name, key)
@@ -183,23 +183,23 @@
     """What the page says at the target is what its runs gave."""
     page = (ROOT / "docs" / "CAPACITY.md").read_text()
     before, *after = (json.loads(file.read_text()) for file in sorted(KEPT, reverse=True))
-    assert capacity.filled(page, before, after[0] if after else {}) == page
+    assert capacity.fill_tables(page, before, after[0] if after else {}) == page
     assert "machine" in page
 
 
 def test_figure_at_the_target_is_times_the_line_and_says_how_far_it_was_drawn() -> None:
     points: list[dict[str, Any]] = [{"size": n, "figures": {"a_s": 3.0 * n}} for n in (1, 2, 4, 8)]
-    results: slopes.Results = {"one": {"points": points, "fits": slopes.lines_through(points)}}
-    row = capacity.Row("relay", "what", "one", "a_s", 80, "s", times=2, limit=48, limit_is="48 s")
-    found = capacity.at_target(row, results)
+    results: slopes.Results = {"one": {"points": points, "fits": slopes.fit_lines(points)}}
+    row = capacity.Row("relay", "what", "one", "a_s", 80, "s", factor=2, limit=48, limit_text="48 s")
+    found = capacity.estimate_at_target(row, results)
     assert found is not None and found[0] == pytest.approx(480) and found[2] == pytest.approx(10)
     points[0]["figures"]["a_s"] = 4.0  # no longer through 0
-    tilted: slopes.Results = {"one": {"points": points, "fits": slopes.lines_through(points)}}
-    alone = capacity.at_target(replace(row, size=16, times=1, alone=True), tilted)
+    tilted: slopes.Results = {"one": {"points": points, "fits": slopes.fit_lines(points)}}
+    alone = capacity.estimate_at_target(replace(row, size=16, factor=1, slope_only=True), tilted)
     assert alone is not None and alone[0] == pytest.approx(16 * tilted["one"]["fits"]["a_s"]["slope"])
     text = capacity.rows_table((row,), results, {})
     assert "**missing, by 10**" in text and "| by 10 |" in text and "not measured" in text
-    measured = capacity.at_target(capacity.Row("relay", "what", "one", "a_s", 8, "s"), results)
+    measured = capacity.estimate_at_target(capacity.Row("relay", "what", "one", "a_s", 8, "s"), results)
     assert measured is not None and (measured[0], measured[2]) == (24.0, 1.0)
 
 
@@ -225,4 +225,4 @@
     }
     result["points"] = [{"size": 1, "figures": {}, "repeats": []}]
     with pytest.raises(ValueError, match="no mark"):
-        capacity.filled("", {"one": result}, {})
+        capacity.fill_tables("", {"one": result}, {})
