--- a/starlingwick/listed_rate.py
+++ b/starlingwick/listed_rate.py
@@ -1,18 +1,20 @@
-"""What the rate that is listed for a destination, or reported by it, says of its limit."""
+"""Limits of a destination, derived from its listed or reported rate."""
 
 from __future__ import annotations
 
 from starlingwick.state import SECOND, Destination
 
-LIMIT_SPAN = 6 * SECOND // 5  # a limit's second, and some for what tells of it late
+LIMIT_WINDOW = 6 * SECOND // 5  # nanoseconds: the one-second window of a limit, and some delay of its reports
 
 
-def call_interval(dest: Destination, relays: int) -> int:
-    """The time in which one relay's part of a known limit is one call, nanoseconds; 0: no limit is known."""
-    return round(SECOND * relays / dest.listed_rate) if dest.listed_rate else 0
+def call_interval(destination: Destination, relays: int) -> int:
+    """Return the time in which one relay's part of a known limit is one call, nanoseconds; 0 if no limit is
+    known."""
+    return round(SECOND * relays / destination.listed_rate) if destination.listed_rate else 0
 
 
-def max_limit_wait(dest: Destination) -> int:
-    """The longest wait that a limit would tell, nanoseconds: to the end of a span of a second, or until a
-    call is due where it takes few. A longer one says that the destination is shut."""
-    return max(LIMIT_SPAN, round(2 * SECOND / dest.listed_rate) if dest.listed_rate else 0)
+def max_limit_wait(destination: Destination) -> int:
+    """Return the longest retry-after wait that a limit explains, nanoseconds: to the end of a window of one
+    second, or until a call is due if the rate is low. A longer wait means that the destination is
+    unavailable."""
+    return max(LIMIT_WINDOW, round(2 * SECOND / destination.listed_rate) if destination.listed_rate else 0)
--- a/starlingwick/slow_start.py
+++ b/starlingwick/slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start: how much a destination that recovers from an outage gets from one relay among many.
+"""Slow start: limits the calls of one relay to a destination that recovers from an outage.
 
-It begins with a share of its capacity and grows evenly to all of it. No relay sees what the others send: each
-takes its part of the budget, by the rate that is listed or that it was served itself.
+The budget of a destination begins with a share of its capacity and grows linearly to all of it. A relay does
+not see what other relays send: each takes its part of the budget, by the listed rate or by the rate of its
+own successful calls before the outage.
 """
 
 from __future__ import annotations
@@ -13,130 +14,154 @@
 from starlingwick.listed_rate import call_interval
 from starlingwick.state import SECOND, Destination
 
-HEADROOM = 1.4  # times what was answered well: a destination takes that much more at most, for all we know
-TRIAL_SHARE = 0.9  # of the budget at the start: who tries has not seen it come back
-UNSEEN_CALLS = 2.0  # in a ramp's time: what a relay that sees few calls may have missed by chance
-UNSEEN_SHARE = 1 / 16  # of an even part: what a relay with no traffic for it yet may send all the same
-FAILING_SHARE = 1 / 3  # of the latest outcomes: with more than that failing, it has not come back yet
+HEADROOM = 1.4  # a destination is assumed to take at most this many times the rate of its successful calls
+TRIAL_SHARE = 0.9  # of the initial budget, for trials: the relay has not seen the destination come back
+MISSED_CALLS = 2.0  # during slow start: calls that a relay with few of them may have missed by chance
+NO_TRAFFIC_SHARE = 1 / 16  # of an equal share, for a relay that has had no traffic for the destination
+MAX_FAILING_SHARE = 1 / 3  # of the latest outcomes: with more failures the destination has not come back
 
 
 class SlowStart:
-    """The budget of one relay. It keeps nothing: times stand in the ``Destination``, in nanoseconds."""
+    """Computes the budget of one relay. It has no state of its own: the times are in ``Destination``."""
 
     def __init__(self, settings: Settings) -> None:
         self.relays = settings.relays
         self.rules = settings.rules
 
-    def is_active(self, dest: Destination, now: int) -> bool:
-        """Whether the destination may still be cold after an outage."""
-        return dest.slow_start_began_at is not None and now < dest.slow_start_ends_at
+    def is_active(self, destination: Destination, now: int) -> bool:
+        """Return whether the destination may still be in slow start after an outage."""
+        return destination.slow_start_began_at is not None and now < destination.slow_start_ends_at
 
-    def is_limiting(self, dest: Destination, waiting: int, now: int) -> bool:
-        """Whether calls are spaced by the budget: in slow start, and behind it, for as long again at most,
-        while more waits than the warm destination may get from this relay within ``overload_window``. All
-        relays would let go of that at once, and some take it for warm before it is."""
-        if self.is_active(dest, now):
+    def is_limiting(self, destination: Destination, waiting: int, now: int) -> bool:
+        """Return whether the budget spaces the calls: in slow start, and for at most as long again afterwards
+        while more messages wait than the recovered destination may get from this relay within
+        ``overload_window``. Otherwise all relays would send those at once, some of them before slow start is
+        over."""
+        if self.is_active(destination, now):
             return True
-        if dest.slow_start_began_at is None or self._is_over(dest, now):
+        if destination.slow_start_began_at is None or self._is_over(destination, now):
             return False
         return (
             waiting
             > 1
-            + self.rules.overload_multiple * self.share_of_rate(dest) * self.rules.overload_window / SECOND
+            + self.rules.overload_multiple
+            * self.share_of_rate(destination)
+            * self.rules.overload_window
+            / SECOND
         )
 
-    def may_begin(self, dest: Destination, now: int) -> bool:
-        """Whether an outage may lie behind this good answer: trouble, and no other good answer for
-        ``overload_window`` before. A failure since the last one will do; of refusals, which a limit makes
-        too, where this relay sees so little that it sees no more of an outage than one bad outcome."""
-        answered = dest.success_times[-2] if len(dest.success_times) > 1 else 0
+    def may_begin(self, destination: Destination, now: int) -> bool:
+        """Return whether this successful call may follow an outage: the destination is unhealthy, and no
+        other call has succeeded for ``overload_window``. A failure since the last success is enough.
+        Throttling, which a limit causes too, counts only if this relay has so little traffic that it sees no
+        more of an outage than one bad outcome."""
+        previous_success = destination.success_times[-2] if len(destination.success_times) > 1 else 0
         return (
-            dest.unhealthy_since is not None
-            and dest.last_bad_outcome_at > (dest.slow_start_began_at or 0)
-            and not self.is_active(dest, now)
-            and now - answered > self.rules.overload_window
-            and (dest.last_failure_at > answered or self.has_little_traffic(dest))
+            destination.unhealthy_since is not None
+            and destination.last_bad_outcome_at > (destination.slow_start_began_at or 0)
+            and not self.is_active(destination, now)
+            and now - previous_success > self.rules.overload_window
+            and (destination.last_failure_at > previous_success or self.has_little_traffic(destination))
         )
 
-    def has_little_traffic(self, dest: Destination) -> bool:
-        """Whether this relay's part of what a destination takes is under a call in ``overload_window``, or
-        unknown."""
-        return not 0 < call_interval(dest, self.relays) <= self.rules.overload_window
-
-    def set_listed_rate(self, dest: Destination, rate: float) -> None:
-        """The list names another rate, calls a second. A destination that takes less from now on will not be
-        served what it was before the trouble."""
-        if 0 < rate < dest.listed_rate and not dest.rate_is_reported:
-            left = rate / dest.listed_rate
-            dest.rate_before_outage *= left
-            dest.success_times[:] = [
-                at
-                for n, at in enumerate(dest.success_times)
-                if math.floor((n + 1) * left) > math.floor(n * left)
+    def has_little_traffic(self, destination: Destination) -> bool:
+        """Return whether this relay's part of the destination's rate is less than a call in
+        ``overload_window``, or unknown."""
+        return not 0 < call_interval(destination, self.relays) <= self.rules.overload_window
+
+    def set_listed_rate(self, destination: Destination, rate: float) -> None:
+        """Set the rate from the endpoint list, calls a second. If it is lower than before, the destination
+        will not take the rate that it took before the outage either, so the records of that are scaled
+        down."""
+        if 0 < rate < destination.listed_rate and not destination.rate_is_reported:
+            ratio = rate / destination.listed_rate
+            destination.rate_before_outage *= ratio
+            destination.success_times[:] = [
+                time
+                for index, time in enumerate(destination.success_times)
+                if math.floor((index + 1) * ratio) > math.floor(index * ratio)
             ]
-        dest.listed_rate, dest.rate_is_reported = rate, False
-
-    def begin(self, dest: Destination, now: int) -> None:
-        """A good answer behind an outage. Nobody saw the destination come back: half of the time since the
-        last failure, in the mean."""
-        dest.slow_start_began_at = now - (now - dest.last_bad_outcome_at) // 2
-        dest.slow_start_ends_at = now + self.rules.slow_start_duration
-        dest.unconfirmed = False
-
-    def on_failure(self, dest: Destination, now: int) -> bool:
-        """A call failed in slow start. Whether slow start begins anew: a destination that fails most calls
-        answers some of them well before it is back."""
-        if not self.is_failing(dest, now):
+        destination.listed_rate, destination.rate_is_reported = rate, False
+
+    def begin(self, destination: Destination, now: int) -> None:
+        """Begin slow start at the first successful call after an outage. The time of return is unknown; on
+        average, half of the time since the last failure has passed since then."""
+        destination.slow_start_began_at = now - (now - destination.last_bad_outcome_at) // 2
+        destination.slow_start_ends_at = now + self.rules.slow_start_duration
+        destination.unconfirmed = False
+
+    def on_failure(self, destination: Destination, now: int) -> bool:
+        """Handle a failure in slow start and return whether slow start begins again: a destination that fails
+        most calls answers some of them before it is back."""
+        if not self.is_failing(destination, now):
             return False
-        dest.slow_start_began_at = now
-        dest.slow_start_ends_at = now + self.rules.slow_start_duration
-        dest.unconfirmed = True
+        destination.slow_start_began_at = now
+        destination.slow_start_ends_at = now + self.rules.slow_start_duration
+        destination.unconfirmed = True
         return True
 
-    def is_failing(self, dest: Destination, now: int) -> bool:
-        """Whether more than a share of the latest outcomes, over twice ``overload_window``, were failures."""
+    def is_failing(self, destination: Destination, now: int) -> bool:
+        """Return whether too large a share of the latest outcomes, over twice ``overload_window``, were
+        failures."""
         since = now - 2 * self.rules.overload_window
-        bad = len(dest.failure_times) - bisect_right(dest.failure_times, since)
-        good = len(dest.success_times) - bisect_right(dest.success_times, since)
-        return bad > FAILING_SHARE * (bad + good)
-
-    def share_of_rate(self, dest: Destination) -> float:
-        """This relay's part of what the destination takes when warm, calls a second: what it was served
-        before the trouble, or an even part of the listed rate where that is more. Listed rates may be half
-        too high, and over uneven traffic the larger of the two adds up to more than the destination takes:
-        what was served bounds it. Over a fleet that adds up to no more than the destination has answered."""
-        even = dest.listed_rate / self.relays
-        unseen = max(UNSEEN_CALLS * SECOND / max(self.rules.slow_start_duration, SECOND), UNSEEN_SHARE * even)
-        return max(dest.rate_before_outage, min(HEADROOM * (dest.rate_before_outage + unseen), even))
-
-    def record_baseline(self, dest: Destination, served: float, watched: int) -> None:
-        """At the first sign of trouble: what was answered well until now, calls a second. For the time that a
-        young relay has not ``watched`` of a ramp's, in nanoseconds, it takes an even part to be its own."""
-        known = min(1.0, watched / max(1, self.rules.slow_start_duration))
-        dest.rate_before_outage = known * served + (1 - known) * dest.listed_rate / self.relays / HEADROOM
-
-    def budget_available_at(self, dest: Destination, calls: float, start: int, now: int) -> int:
-        """When this relay's part of what a destination may get, in trouble or in slow start, has grown by so
-        many calls from ``start`` on. All relays share it, or as many as can have had a call for it in the
-        trouble's time (a ramp at least). Of unknown capacity, all relays together are taken to get a call a
-        second."""
+        failures = len(destination.failure_times) - bisect_right(destination.failure_times, since)
+        successes = len(destination.success_times) - bisect_right(destination.success_times, since)
+        return failures > MAX_FAILING_SHARE * (failures + successes)
+
+    def share_of_rate(self, destination: Destination) -> float:
+        """Return this relay's part of the rate that the recovered destination takes, calls a second: the rate
+        of successful calls before the outage, or an equal share of the listed rate if that is more. Listed
+        rates may be half too high, and with uneven traffic the sum of the larger of the two over all relays
+        exceeds what the destination takes, so the successful calls bound it. Over a fleet, the sum is then no
+        more than the destination has answered."""
+        equal_share = destination.listed_rate / self.relays
+        allowance = max(
+            MISSED_CALLS * SECOND / max(self.rules.slow_start_duration, SECOND),
+            NO_TRAFFIC_SHARE * equal_share,
+        )
+        return max(
+            destination.rate_before_outage,
+            min(HEADROOM * (destination.rate_before_outage + allowance), equal_share),
+        )
+
+    def record_baseline(self, destination: Destination, success_rate: float, observed_time: int) -> None:
+        """Record the rate of successful calls, calls a second, at the first bad outcome. A relay that has run
+        for less than the duration of slow start (``observed_time``, nanoseconds) assumes an equal share for
+        the rest of that time."""
+        observed_share = min(1.0, observed_time / max(1, self.rules.slow_start_duration))
+        destination.rate_before_outage = (
+            observed_share * success_rate
+            + (1 - observed_share) * destination.listed_rate / self.relays / HEADROOM
+        )
+
+    def budget_available_at(self, destination: Destination, calls: float, start: int, now: int) -> int:
+        """Return when this relay's part of the budget, in an outage or in slow start, has grown by that many
+        calls from ``start`` on. The budget is divided among all relays, or among as many as can have had a
+        call for the destination while it was unhealthy (at least for the duration of slow start). If the
+        capacity is unknown, all relays together are assumed to get one call a second."""
         rules = self.rules
-        lasted = max(
+        unhealthy_time = max(
             rules.slow_start_duration,
             SECOND,
-            dest.last_bad_outcome_at - (dest.unhealthy_since or dest.last_bad_outcome_at),
+            destination.last_bad_outcome_at
+            - (destination.unhealthy_since or destination.last_bad_outcome_at),
+        )
+        share = max(self.share_of_rate(destination) / SECOND, 1 / unhealthy_time, 1 / SECOND / self.relays)
+        full_rate = rules.overload_multiple * share
+        if destination.slow_start_began_at is None or self._is_over(destination, now):
+            return start + round(calls / (TRIAL_SHARE * full_rate * rules.slow_start_initial_share))
+        growth = full_rate * (1 - rules.slow_start_initial_share) / max(1, rules.slow_start_duration)
+        current_rate = full_rate * rules.slow_start_initial_share + growth * max(
+            0, start - destination.slow_start_began_at
         )
-        part = max(self.share_of_rate(dest) / SECOND, 1 / lasted, 1 / SECOND / self.relays)
-        pace = rules.overload_multiple * part
-        if dest.slow_start_began_at is None or self._is_over(dest, now):
-            return start + round(calls / (TRIAL_SHARE * pace * rules.slow_start_initial_share))
-        grows = pace * (1 - rules.slow_start_initial_share) / max(1, rules.slow_start_duration)
-        first = pace * rules.slow_start_initial_share + grows * max(0, start - dest.slow_start_began_at)
-        if first >= pace:
-            return start + round(calls / pace)
-        return start + round(2 * calls / (first + math.sqrt(first * first + 2 * grows * calls)))
-
-    def _is_over(self, dest: Destination, now: int) -> bool:
-        """Whether the latest slow start paces nothing any more: long past, or behind it there was trouble."""
-        troubled_since = dest.last_bad_outcome_at > dest.slow_start_ends_at
-        return now >= dest.slow_start_ends_at + (0 if troubled_since else self.rules.slow_start_duration)
+        if current_rate >= full_rate:
+            return start + round(calls / full_rate)
+        return start + round(
+            2 * calls / (current_rate + math.sqrt(current_rate * current_rate + 2 * growth * calls))
+        )
+
+    def _is_over(self, destination: Destination, now: int) -> bool:
+        """Return whether the latest slow start limits nothing any more: it ended long ago, or the destination
+        was unhealthy again after it."""
+        failed_since = destination.last_bad_outcome_at > destination.slow_start_ends_at
+        return now >= destination.slow_start_ends_at + (0 if failed_since else self.rules.slow_start_duration)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from starlingwick import interface as io
-from starlingwick.control import CLIMB_EVERY, CLIMB_SHARE, CUT
+from starlingwick.control import DECREASE_FACTOR, RECOVERY_INTERVAL, RECOVERY_SHARE
 from tests.helpers import MS, Relay, S, entry
 
 STEP = 50 * MS
@@ -69,10 +69,10 @@
         dest = relay.pacer.routes[1][0]
         cut = dest.rate_limit
         assert cut is not None and cut > 2.0
-        relay.turn(after=CLIMB_EVERY)
-        assert dest.rate_limit == pytest.approx(cut + CLIMB_SHARE * (cut / CUT - cut))
+        relay.turn(after=RECOVERY_INTERVAL)
+        assert dest.rate_limit == pytest.approx(cut + RECOVERY_SHARE * (cut / DECREASE_FACTOR - cut))
         for _ in range(12):
-            relay.turn(relay.message(), after=CLIMB_EVERY)
+            relay.turn(relay.message(), after=RECOVERY_INTERVAL)
             relay.turn(
                 *[relay.verdict(send.message_id, io.Status.OK) for send in relay.sends()], after=10 * MS
             )
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from starlingwick import interface as io
-from starlingwick.control import CUT
+from starlingwick.control import DECREASE_FACTOR
 from starlingwick.state import Destination, Endpoint, Message
 from tests.helpers import MS, TURNS, Relay, S, entry
 
@@ -28,7 +28,7 @@
     dest = relay.pacer.routes[1][0]
     sent_before = 13 / 2.05
     refuse(relay, 3)
-    assert dest.rate_limit == pytest.approx(CUT * sent_before, rel=0.02)
+    assert dest.rate_limit == pytest.approx(DECREASE_FACTOR * sent_before, rel=0.02)
 
 
 def test_ceiling_climbs_a_quarter_of_the_gap_and_is_dropped_at_its_target() -> None:
@@ -100,7 +100,7 @@
     pacer = relay.pacer
     assert len(pacer.endpoints) == len(pacer.routes[1]) == 1
     assert (
-        len(pacer.turn_rest) <= 2
+        len(pacer.ordering_gaps) <= 2
         and not pacer.ordered_queues
         and not pacer.messages
         and not pacer.waiting_messages
