--- a/fleetlab/__init__.py
+++ b/fleetlab/__init__.py
@@ -1,1 +1,1 @@
-"""A laboratory for fleets: one to a few real relays, hollow ones, and stand-ins for all that they talk to."""
+"""Laboratory for relay fleets: real relays, hollow relays, and stand-ins for everything they talk to."""
--- a/fleetlab/__main__.py
+++ b/fleetlab/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m fleetlab``."""
+"""Entry point of ``python -m fleetlab``."""
 
 import sys
 
--- a/fleetlab/clients.py
+++ b/fleetlab/clients.py
@@ -1,7 +1,8 @@
-"""Those who hand messages in, over RESP2: open loop, so that a slow relay is not spared by its own slowness.
+"""Stand-ins for clients, which submit messages over RESP2 in an open loop.
 
-Messages come as a Poisson process. Each is handed in until it is taken on, refused for good or out of time:
-once more after a refusal, and under a new id 0.77 to 1.9 s after a relay died or did not answer in 400 ms.
+A slow relay therefore does not reduce the load. Messages arrive as a Poisson process. Each is submitted
+until a relay accepts it, its retry after a rejection is used up, or its deadline passes: once more after a
+rejection, and under a new id 0.77 to 1.9 s after a relay died or did not answer within 400 ms.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from fleetlab.fleet import CLASS, Fleet
+from fleetlab.fleet import CLASS_NAME, Fleet
 from fleetlab.ledger import Entry, Ledger, Message, State
 
-ANSWER_TIME = 0.4  # seconds
-AGAIN_AFTER = (0.77, 1.9)  # seconds, where a relay died or did not answer
-BACKOFF = (0.79, 1.5)  # seconds behind a refusal that told none
-MOST_REFUSALS = 1  # after which a message is handed in once more
-KEY_ZERO = "0000000000000000"
-DRAWS = 4096  # destinations drawn at a time
+ANSWER_TIMEOUT = 0.4  # seconds
+RESUBMIT_DELAY = (0.77, 1.9)  # seconds, after a relay died, failed or did not answer
+REJECTION_BACKOFF = (0.79, 1.5)  # seconds, after a rejection without a wait
+MAX_RESUBMISSIONS = 1  # per message, after rejections
+REQUEST_KEY = "0000000000000000"  # first argument of each ENQUEUE
+DRAW_BATCH = 4096  # destinations drawn at a time
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a relay, one request at a time."""
+    """One connection to a relay, with one request at a time."""
 
     def __init__(self) -> None:
         self.parser = hiredis.Reader()
@@ -53,10 +54,13 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.lost = True
         if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(ConnectionResetError("closed with no answer"))
+            self.answer.set_exception(ConnectionResetError("closed without an answer"))
 
-    async def ask(self, command: bytes, seconds: float) -> Any:
-        """The answer, errors included. ConnectionError where there is none, TimeoutError where it is late."""
+    async def request(self, command: bytes, seconds: float) -> Any:
+        """Return the answer or error reply.
+
+        Raises ConnectionError if there is none, TimeoutError if it is late.
+        """
         if self.lost or self.transport is None:
             raise ConnectionResetError("closed")
         self.requests += 1
@@ -71,50 +75,54 @@
 
 
 @dataclass(slots=True, eq=False)
-class Door:
-    """Where a relay's clients connect, and whether the front still sends them there. Where it is ``leaving``
-    they use the connections that they have for as long as these stay open, and open no other."""
+class RelayConnections:
+    """Pool of client connections to one relay, and whether the load balancer still routes to that relay.
+
+    While ``draining``, clients use the existing connections as long as these stay open, and open no new ones.
+    """
 
     relay: str
     host: str
     port: int
     open: bool = False
     idle: list[Connection] = field(default_factory=list)
-    connections: int = 0  # opened so far
-    leaving: bool = False
-    killed: bool = False  # by a signal that leaves no time for an answer
-    unanswered: int = 0  # requests whose new connection was closed with no answer
+    connections: int = 0  # total opened
+    draining: bool = False
+    killed: bool = False  # by SIGKILL, so that requests may end without an answer
+    unanswered: int = 0  # requests whose new connection closed without an answer
 
     @property
     def usable(self) -> bool:
-        """Whether a client would hand a message in here."""
-        return self.open or self.leaving and bool(self.idle)
+        """Whether a client can submit messages to this relay."""
+        return self.open or self.draining and bool(self.idle)
 
-    async def ask(self, command: bytes, seconds: float) -> Any:
-        """One request on a connection that is free, or on a new one. A request that crossed the close of a
-        connection between requests is sent once more on a new one."""
+    async def request(self, command: bytes, seconds: float) -> Any:
+        """Send one request on an idle connection or on a new one.
+
+        If an idle connection closes while the request is sent, the request is repeated on a new connection.
+        """
         while self.idle:
             connection = self.idle.pop()
             if connection.lost:
                 continue
             with contextlib.suppress(ConnectionError):
-                return await self._on(connection, command, seconds)
+                return await self._request_on(connection, command, seconds)
             break
         if not self.open:
-            raise ConnectionRefusedError("no new connections here")
+            raise ConnectionRefusedError("the relay accepts no new connections")
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(seconds):
             _, connection = await loop.create_connection(Connection, self.host, self.port)
         self.connections += 1
         try:
-            return await self._on(connection, command, seconds)
+            return await self._request_on(connection, command, seconds)
         except ConnectionError:
             self.unanswered += not self.killed
             raise
 
-    async def _on(self, connection: Connection, command: bytes, seconds: float) -> Any:
+    async def _request_on(self, connection: Connection, command: bytes, seconds: float) -> Any:
         try:
-            answer = await connection.ask(command, seconds)
+            answer = await connection.request(command, seconds)
         except BaseException:
             connection.close()
             raise
@@ -129,26 +137,29 @@
 
 
 class Clients:
-    """All clients of the real relays, and the front that deals their messages out."""
+    """All clients of the real relays, and the load balancer that spreads their messages."""
 
-    def __init__(self, fleet: Fleet, ledger: Ledger, doors: list[Door], clock: Callable[[], float]) -> None:
+    def __init__(
+        self, fleet: Fleet, ledger: Ledger, pools: list[RelayConnections], clock: Callable[[], float]
+    ) -> None:
         self.fleet = fleet
         self.ledger = ledger
-        self.doors = {door.relay: door for door in doors}
+        self.pools = {pool.relay: pool for pool in pools}
         self.clock = clock
-        # What comes is the same whatever becomes of it; ids and waits have a generator of their own.
+        # Arrivals must not depend on their outcomes, so ids and waits use a separate generator.
         self.arrivals, self.rng = (
             np.random.Generator(np.random.PCG64(seed)) for seed in fleet.seeds("clients", 2)
         )
-        self.lateness = HdrHistogram(1, 3_600_000_000, 3)  # of our own hand-ins, microseconds
+        # Delay of submissions against their schedule, in microseconds.
+        self.lateness = HdrHistogram(1, 3_600_000_000, 3)
         self.tasks: set[asyncio.Task[None]] = set()
-        self._shares = np.array([dest.share for dest in fleet.drawn])
-        self._shares /= self._shares.sum()
-        self._drawn: list[int] = []
-        self._numbers = np.array([dest.number for dest in fleet.drawn])
+        self._traffic_shares = np.array([destination.share for destination in fleet.drawn])
+        self._traffic_shares /= self._traffic_shares.sum()
+        self._next_destinations: list[int] = []
+        self._destination_numbers = np.array([destination.number for destination in fleet.drawn])
 
     async def play(self, until: float) -> None:
-        """Hand messages in until then, in monotonic seconds. What was handed in goes its way behind it."""
+        """Submit messages until ``until``, in monotonic seconds; their retries continue afterwards."""
         rate, at, number = self.fleet.plan.rate, self.clock(), 0
         while True:
             at += float(self.arrivals.exponential(1 / rate))
@@ -160,97 +171,105 @@
             self.lateness.record_value(max(1, round((self.clock() - at) * 1e6)))
             message = self._message(number, at)
             number += 1
-            self.ledger.offered()
+            self.ledger.record_offered()
             self._spawn(message, 0.0)
 
     async def finish(self) -> None:
-        """Nothing more is handed in."""
+        """Stop all submissions and close the connections."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        for door in self.doors.values():
-            door.close()
+        for pool in self.pools.values():
+            pool.close()
 
     def _message(self, number: int, at: float) -> Message:
-        if not self._drawn:
-            self._drawn = [int(n) for n in self.arrivals.choice(self._numbers, DRAWS, p=self._shares)]
+        if not self._next_destinations:
+            self._next_destinations = [
+                int(n)
+                for n in self.arrivals.choice(self._destination_numbers, DRAW_BATCH, p=self._traffic_shares)
+            ]
         return Message(
             number,
-            self._drawn.pop(),
+            self._next_destinations.pop(),
             f"{int(self.arrivals.integers(1 << 62)):016x}",
             at,
             at + self.fleet.plan.deadline,
         )
 
     def _spawn(self, message: Message, wait: float) -> None:
-        task = asyncio.get_running_loop().create_task(self._hand_in(message, wait))
+        task = asyncio.get_running_loop().create_task(self._submit(message, wait))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _door(self, last: str | None) -> Door | None:
-        """A relay gets all messages of a key as long as it runs; else the front draws."""
-        if last is not None and self.doors[last].usable:
-            return self.doors[last]
-        up = [door for door in self.doors.values() if door.usable]
-        return up[int(self.rng.integers(len(up)))] if up else None
+    def _pool_for(self, last_relay: str | None) -> RelayConnections | None:
+        """Return the relay of the last submission while it is usable, else a random usable one."""
+        if last_relay is not None and self.pools[last_relay].usable:
+            return self.pools[last_relay]
+        available = [pool for pool in self.pools.values() if pool.usable]
+        return available[int(self.rng.integers(len(available)))] if available else None
+
+    async def _submit(self, message: Message, wait: float) -> None:
+        """Submit a message until it is accepted, rejected or out of time.
 
-    async def _hand_in(self, message: Message, wait: float) -> None:
-        """Until it is taken on, or nobody tries any more. A notice that bounces it begins this anew."""
-        mark, last = "", None
+        A notice that rejects it later starts this again.
+        """
+        retry_field, last_relay = "", None
         body = f"{message.key}:".encode() * (1 + message.number % 40)
-        if message.tries:
-            mark = ",r=1"
+        if message.submissions:
+            retry_field = ",r=1"
         while True:
             if wait:
                 await asyncio.sleep(wait)
             now = self.clock()
-            left = int((message.due - now) * 1000)
-            door = self._door(last)
-            if left < 1:
+            time_left_ms = int((message.deadline - now) * 1000)
+            pool = self._pool_for(last_relay)
+            if time_left_ms < 1:
                 return
-            if door is None:
+            if pool is None:
                 wait = 0.1
                 continue
-            last = door.relay
-            ref = f"{int(self.rng.integers(1 << 62)):016x}"
-            entry = Entry(ref, door.relay, body, message)
-            entry.on_bounce = lambda ms: self._refused(message, ms)
-            message.tries += 1
-            self.ledger.handed_in(entry)
-            words = f"c={CLASS},d={left},k={message.key},dest={message.dest}{mark}"
-            command = packed("ENQUEUE", KEY_ZERO, ref, words, body)
+            last_relay = pool.relay
+            message_id = f"{int(self.rng.integers(1 << 62)):016x}"
+            entry = Entry(message_id, pool.relay, body, message)
+            entry.on_rejection = lambda ms: self._rejected(message, ms)
+            message.submissions += 1
+            self.ledger.record_submission(entry)
+            fields = (
+                f"c={CLASS_NAME},d={time_left_ms},k={message.key},dest={message.destination}{retry_field}"
+            )
+            command = encode_command("ENQUEUE", REQUEST_KEY, message_id, fields, body)
             try:
-                answer = await door.ask(command, ANSWER_TIME)
+                answer = await pool.request(command, ANSWER_TIMEOUT)
             except (OSError, TimeoutError):
-                self.ledger.answered(entry, State.ABANDONED, self.clock() - now, self.clock())
-                wait, mark = float(self.rng.uniform(*AGAIN_AFTER)), ",again=1"
+                self.ledger.record_answer(entry, State.ABANDONED, self.clock() - now, self.clock())
+                wait, retry_field = float(self.rng.uniform(*RESUBMIT_DELAY)), ",again=1"
                 continue
-            state, told = read_answer(answer)
-            self.ledger.answered(entry, state, self.clock() - now, self.clock())
-            if state is State.REFUSED:
-                self._refused(message, told)
+            state, wait_ms = parse_answer(answer)
+            self.ledger.record_answer(entry, state, self.clock() - now, self.clock())
+            if state is State.REJECTED:
+                self._rejected(message, wait_ms)
             if state is not State.FAILED:
                 return
-            wait, mark = float(self.rng.uniform(*AGAIN_AFTER)), ",again=1"
+            wait, retry_field = float(self.rng.uniform(*RESUBMIT_DELAY)), ",again=1"
 
-    def _refused(self, message: Message, wait_ms: int) -> None:
-        message.refusals += 1
-        if message.refusals <= MOST_REFUSALS:
-            self._spawn(message, wait_ms / 1000 or float(self.rng.uniform(*BACKOFF)))
+    def _rejected(self, message: Message, wait_ms: int) -> None:
+        message.rejections += 1
+        if message.rejections <= MAX_RESUBMISSIONS:
+            self._spawn(message, wait_ms / 1000 or float(self.rng.uniform(*REJECTION_BACKOFF)))
 
 
-def packed(*words: str | bytes) -> bytes:
-    """A command as it goes over the wire."""
-    data: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub means a tuple of one
+def encode_command(*fields: str | bytes) -> bytes:
+    """Encode a RESP command."""
+    data: bytes = hiredis.pack_command(fields)  # type: ignore[arg-type]  # the stub expects a tuple of one element
     return data
 
 
-def read_answer(answer: Any) -> tuple[State, int]:
-    """What a relay's answer to a message means, and the wait that it tells, in milliseconds."""
+def parse_answer(answer: Any) -> tuple[State, int]:
+    """Return the state that a relay's answer means, and its wait in milliseconds, 0 if it has none."""
     if isinstance(answer, str | bytes):
-        return State.TAKEN, 0
-    words = str(answer).split()
-    if isinstance(answer, hiredis.ReplyError) and words[:1] == ["BUSY"]:
-        told = words[1] if len(words) > 1 else "0"
-        return State.REFUSED, int(told) if told.isascii() and told.isdigit() else 0
+        return State.ACCEPTED, 0
+    fields = str(answer).split()
+    if isinstance(answer, hiredis.ReplyError) and fields[:1] == ["BUSY"]:
+        wait_ms = fields[1] if len(fields) > 1 else "0"
+        return State.REJECTED, int(wait_ms) if wait_ms.isascii() and wait_ms.isdigit() else 0
     return State.FAILED, 0
--- a/fleetlab/endpoints.py
+++ b/fleetlab/endpoints.py
@@ -1,8 +1,8 @@
-"""The partner systems: endpoints over HTTP/1.1 that share a limit, fail, and come back cold.
+"""Stand-ins for destinations: HTTP/1.1 endpoints that share a rate limit, fail, and recover in slow start.
 
-Each endpoint of a destination that draws traffic listens on a loopback address of its own, so that a refused
-connection is refused by the kernel. One server answers on all of them. What is not modelled: an endpoint's
-bound on connections, and the cost of opening one.
+Each endpoint of a destination with traffic listens on its own loopback address, so that the kernel refuses
+connections during an outage. One server answers on all of them. Not modelled: an endpoint's limit on
+connections, and the cost of opening one.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 from fleetlab.fleet import (
     DRAIN_GRACE,
-    FALL_MULTIPLE,
-    FALL_SPAN,
     KINDS,
-    RAMP_TIME,
+    OVERLOAD_MULTIPLE,
+    OVERLOAD_WINDOW,
     SERVICE_SPREAD,
+    SLOW_START_DURATION,
     START_CAPACITY,
     Destination,
     Endpoint,
@@ -39,277 +39,293 @@
 
 log = logging.getLogger(__name__)
 
-HOLLOW_HEADER = "X-Lab-Relay"  # a hollow relay's name; real ones are known by the messages they were given
-MOST_BODY = 64 * 1024
-LET_THROUGH = 0.1  # seconds behind an answer with a wait in which calls are let through
-TIMED_SLACK = 0.25  # seconds that we may be late ourselves
-MOST_HANDLERS = 256  # kept of an endpoint before those that have ended are sorted out
-SPAN = 1.0  # seconds of an authority's count
+HOLLOW_HEADER = "X-Lab-Relay"  # name of a hollow relay; a real relay is identified by the message id
+MAX_BODY_BYTES = 64 * 1024
+WAIT_GRACE = 0.1  # seconds after a retry-after answer in which calls are still allowed
+TIMING_TOLERANCE = 0.25  # seconds by which this process itself may be late
+MAX_HANDLERS = 256  # per endpoint, before those of closed connections are dropped
+RATE_WINDOW = 1.0  # seconds in which an authority counts calls
 
 
 class Verdict(enum.Enum):
-    """How a destination met a call."""
+    """Outcome of a call at a destination."""
 
     SERVED = "served"
-    LIMITED = "limited"  # above the limit
-    SHUT = "shut"  # in an outage, or fallen over
+    LIMITED = "limited"  # above the rate limit
+    UNAVAILABLE = "shut"  # in an outage, or down after an overload
     ERROR = "error"
     SILENT = "silent"
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
+    """A verdict on one call, with the retry-after wait to answer, if any."""
+
     verdict: Verdict
-    wait_ms: int = 0  # told, above 0
+    wait_ms: int = 0  # retry-after; 0 if none is sent
 
 
-class Partner:
-    """One destination's mind: its limit, its outages, and how cold it is. No sockets; times are given.
+class DestinationStandIn:
+    """Model of one destination: rate limit, outages and slow start. Uses no sockets; callers pass the time.
 
-    An ``authority`` counts the calls in each span of 1 s, refused ones too. A ``trade-partner`` has a token
-    bucket that refused calls do not drain. A silent one takes connections up, as one that hangs does.
+    An ``authority`` counts the calls in each window of 1 s, throttled ones included. A ``trade-partner``
+    has a token bucket that throttled calls do not drain. A silent one still accepts connections, like a
+    hung process.
 
-    After an outage it can do ``START_CAPACITY`` of its capacity, and all of it after ``RAMP_TIME``. Sent more
-    than N + 2 sqrt(N) + 2 calls in a span of ``FALL_SPAN``, N being ``FALL_MULTIPLE`` times what it can do
-    then, it falls over and stays down.
+    After an outage it has ``START_CAPACITY`` of its capacity, and all of it after ``SLOW_START_DURATION``. If
+    it gets more than N + 2 sqrt(N) + 2 calls within ``OVERLOAD_WINDOW``, N being ``OVERLOAD_MULTIPLE`` times
+    the calls that it can serve in that window, it is overloaded and stays down.
     """
 
-    def __init__(self, dest: Destination, rng: np.random.Generator) -> None:
-        self.dest = dest
+    def __init__(self, destination: Destination, rng: np.random.Generator) -> None:
+        self.destination = destination
         self.rng = rng
-        self.calls: Counter[str] = Counter()  # by relay, all that came while it was up or down
+        self.calls_by_relay: Counter[str] = Counter()  # all calls and probes, in and out of outages
         self.verdicts: Counter[Verdict] = Counter()
-        self.out: Counter[str] = Counter()  # by relay, calls that are being served
+        self.in_flight: Counter[str] = Counter()  # by relay, calls being served
         self.outage: OutageKind | None = None
         self.outage_until = math.inf
-        self.latest = OutageKind.REFUSED  # the kind of the latest outage
-        self.back_at = 0.0  # when it ended
-        self.cold_from: float | None = None
-        self.fallen = False
-        self.fell_by_knowing = False
-        self._tokens = dest.burst
+        self.latest_outage = OutageKind.REFUSED  # kind of the latest outage
+        self.recovered_at = 0.0  # end of the latest outage
+        self.recovering_since: float | None = None
+        self.overloaded = False
+        self.overloaded_by_informed = False
+        self._tokens = destination.burst
         self._filled_at = 0.0
-        self._span = -1
-        self._in_span = 0
-        # Relays that met a failure in the latest outage. Who was refused a connection can't be seen:
-        # too few are blamed for a push, never too many.
-        self._knowing: set[str] = set()
-        self._recent: deque[tuple[float, str]] = deque()  # while cold
-
-    def go_down(self, kind: OutageKind, until: float) -> None:
+        self._window = -1
+        self._calls_in_window = 0
+        # Relays that saw a failure in the latest outage. Refused connections are invisible here, so the set
+        # may miss relays but never holds one wrongly.
+        self._informed_relays: set[str] = set()
+        self._recent: deque[tuple[float, str]] = deque()  # time and relay of calls during slow start
+
+    def begin_outage(self, kind: OutageKind, until: float) -> None:
+        """Start an outage that lasts until ``until``."""
         if self.outage is None:
-            self._knowing = {relay for relay, calls in self.out.items() if calls}  # these fail
-        self.outage, self.outage_until, self.cold_from = kind, until, None
-        self.latest = kind
-
-    def come_back(self, now: float) -> None:
-        """Cold. Nothing where it has fallen over: it stays down."""
-        if not self.fallen:
+            # Their calls in flight fail.
+            self._informed_relays = {relay for relay, calls in self.in_flight.items() if calls}
+        self.outage, self.outage_until, self.recovering_since = kind, until, None
+        self.latest_outage = kind
+
+    def recover(self, now: float) -> None:
+        """End the outage and begin slow start. Does nothing after an overload: it stays down."""
+        if not self.overloaded:
             self.outage, self.outage_until = None, math.inf
-            self.cold_from = self.back_at = now
+            self.recovering_since = self.recovered_at = now
             self._recent.clear()
             self._tokens, self._filled_at = 1.0, now
 
     def capacity(self, now: float) -> float:
-        """Calls a second that it can do now, were it up."""
-        if self.cold_from is None:
-            return self.dest.capacity
-        warm = min(1.0, (now - self.cold_from) / RAMP_TIME)
-        return self.dest.capacity * (START_CAPACITY + (1 - START_CAPACITY) * warm)
-
-    def meet(self, relay: str, now: float) -> Decision:
-        """A call or a probe has come whole."""
-        self.calls[relay] += 1
+        """Return the calls per second that it could serve now if it were up."""
+        if self.recovering_since is None:
+            return self.destination.capacity
+        progress = min(1.0, (now - self.recovering_since) / SLOW_START_DURATION)
+        return self.destination.capacity * (START_CAPACITY + (1 - START_CAPACITY) * progress)
+
+    def handle_call(self, relay: str, now: float) -> Decision:
+        """Decide on a call or probe that has arrived completely."""
+        self.calls_by_relay[relay] += 1
         decision = self._decide(relay, now)
         self.verdicts[decision.verdict] += 1
         if self.outage is not None:
-            self._knowing.add(relay)
+            self._informed_relays.add(relay)
         return decision
 
     def _decide(self, relay: str, now: float) -> Decision:
-        if self.outage is None and self.cold_from is not None:
-            self._push(relay, now)
-        if self.fallen:
-            return Decision(Verdict.SHUT)
+        if self.outage is None and self.recovering_since is not None:
+            self._check_overload(relay, now)
+        if self.overloaded:
+            return Decision(Verdict.UNAVAILABLE)
         match self.outage:
             case OutageKind.SILENT | OutageKind.REFUSED:
                 return Decision(Verdict.SILENT)
-            case OutageKind.SHUT:
-                return Decision(Verdict.SHUT)
-            case OutageKind.TOLD:
-                return Decision(Verdict.SHUT, max(1, math.ceil((self.outage_until - now) * 1000)))
+            case OutageKind.UNAVAILABLE:
+                return Decision(Verdict.UNAVAILABLE)
+            case OutageKind.RETRY_AFTER:
+                return Decision(Verdict.UNAVAILABLE, max(1, math.ceil((self.outage_until - now) * 1000)))
             case OutageKind.ERRORS:
                 return Decision(Verdict.ERROR)
         wait = self._over_limit(now)
         if not wait:
             return Decision(Verdict.SERVED)
-        told = self.rng.random() < self.dest.tells
-        return Decision(Verdict.LIMITED, math.ceil(wait * 1000) if told else 0)
+        sends_wait = self.rng.random() < self.destination.retry_after_share
+        return Decision(Verdict.LIMITED, math.ceil(wait * 1000) if sends_wait else 0)
 
     def _over_limit(self, now: float) -> float:
-        """Seconds until there is room; 0 where there is."""
-        rate = min(self.dest.limit, self.capacity(now))
-        if self.dest.kind == KINDS[0]:
-            span = int(now / SPAN)
-            if span != self._span:
-                self._span, self._in_span = span, 0
-            self._in_span += 1
-            return 0.0 if self._in_span <= max(1.0, rate * SPAN) else max(0.001, (span + 1) * SPAN - now)
-        self._tokens = min(self.dest.burst, self._tokens + (now - self._filled_at) * rate)
+        """Return the seconds until the rate limit allows a call; 0 if it allows one now."""
+        rate = min(self.destination.limit, self.capacity(now))
+        if self.destination.kind == KINDS[0]:
+            window = int(now / RATE_WINDOW)
+            if window != self._window:
+                self._window, self._calls_in_window = window, 0
+            self._calls_in_window += 1
+            return (
+                0.0
+                if self._calls_in_window <= max(1.0, rate * RATE_WINDOW)
+                else max(0.001, (window + 1) * RATE_WINDOW - now)
+            )
+        self._tokens = min(self.destination.burst, self._tokens + (now - self._filled_at) * rate)
         self._filled_at = now
         if self._tokens >= 1:
             self._tokens -= 1
             return 0.0
         return max((1 - self._tokens) / rate, float(self.rng.uniform(0.22, 0.97)))
 
-    def _push(self, relay: str, now: float) -> None:
-        """What comes to a cold destination, refused or not, pushes it."""
-        assert self.cold_from is not None
-        if now >= self.cold_from + RAMP_TIME:
-            self.cold_from = None
+    def _check_overload(self, relay: str, now: float) -> None:
+        """Detect overload during slow start; throttled calls count, too."""
+        assert self.recovering_since is not None
+        if now >= self.recovering_since + SLOW_START_DURATION:
+            self.recovering_since = None
             self._recent.clear()
             return
         recent = self._recent
         recent.append((now, relay))
-        while recent[0][0] < now - FALL_SPAN:
+        while recent[0][0] < now - OVERLOAD_WINDOW:
             recent.popleft()
-        if len(recent) > allowed_when_cold(self.capacity(now)):
-            self.fallen = True
-            knowing = sum(name in self._knowing for _, name in recent)
-            self.fell_by_knowing = knowing >= 2 / 3 * len(recent)
+        if len(recent) > overload_threshold(self.capacity(now)):
+            self.overloaded = True
+            informed_calls = sum(name in self._informed_relays for _, name in recent)
+            self.overloaded_by_informed = informed_calls >= 2 / 3 * len(recent)
 
 
 @dataclass(slots=True, eq=False)
-class Place:
-    """One endpoint's listening address and the connections to it."""
+class Listener:
+    """One endpoint's listening address and its connections."""
 
     endpoint: Endpoint
-    partner: Partner
+    stand_in: DestinationStandIn
     address: str = ""
     server: asyncio.Server | None = None
     handlers: list[RequestHandler] = field(default_factory=list)
 
     def accept(self, handler: RequestHandler) -> RequestHandler:
-        """Keep a connection's handler; those whose connections have ended are dropped now and then."""
-        if len(self.handlers) >= MOST_HANDLERS:
+        """Keep a connection's handler; drop those of closed connections at ``MAX_HANDLERS``."""
+        if len(self.handlers) >= MAX_HANDLERS:
             self.handlers = [old for old in self.handlers if old.transport is not None]
         self.handlers.append(handler)
         return handler
 
 
 class Endpoints:
-    """All endpoints that traffic goes to.
+    """All endpoints that receive traffic.
 
-    ``told`` gives what an endpoint's relay was last told of its status, and when, by relay and endpoint name.
+    ``last_status`` takes the names of a relay and an endpoint and returns the first status after Ready
+    that discovery sent to the relay for the endpoint, and the time at which it did; None if it is Ready.
     """
 
     def __init__(
         self,
         ledger: Ledger,
         seeds: list[np.random.SeedSequence],
-        told: Callable[[str, str], tuple[str, float] | None] = lambda relay, name: None,
+        last_status: Callable[[str, str], tuple[str, float] | None] = lambda relay, name: None,
     ) -> None:
         self.ledger = ledger
-        self.told = told
-        self.partners: dict[int, Partner] = {}
-        self.places: dict[str, Place] = {}
+        self.last_status = last_status
+        self.stand_ins: dict[int, DestinationStandIn] = {}
+        self.listeners: dict[str, Listener] = {}
         self.probes = 0
-        self.ran_unheard = 0  # calls that were served and whose relay had hung up
+        self.unread_responses = 0  # served calls whose relay had closed the connection
         self._seeds = iter(seeds)
-        self._by_dest: dict[int, dict[str, Place]] = {}
-        self._by_address: dict[tuple[str, int], Place] = {}
-        self._relays: WeakKeyDictionary[asyncio.Transport, str] = WeakKeyDictionary()  # for probes
-        self._out: dict[str, list[asyncio.Transport]] = {}  # by message: the connections of its calls
-        self._waits: dict[tuple[str, int], tuple[float, float]] = {}  # relay, dest: written at, until
-        self._hang = asyncio.Event()  # set when all is over
+        self._by_destination: dict[int, dict[str, Listener]] = {}
+        self._by_address: dict[tuple[str, int], Listener] = {}
+        # Relay by connection, to attribute probes.
+        self._relays: WeakKeyDictionary[asyncio.Transport, str] = WeakKeyDictionary()
+        self._in_flight: dict[str, list[asyncio.Transport]] = {}  # by message id: connections of its calls
+        # (relay, destination) to (sent at, until).
+        self._waits: dict[tuple[str, int], tuple[float, float]] = {}
+        self._closing = asyncio.Event()  # set at shutdown
         self._server = web.Server(self._handle, access_log=None, keepalive_timeout=10, max_field_size=16384)
-        self._hosts = 0
+        self._endpoint_count = 0
 
-    async def open(self, dest: Destination, rng: np.random.Generator | None = None) -> Partner:
-        """Listen for all of a destination's endpoints."""
+    async def open(
+        self, destination: Destination, rng: np.random.Generator | None = None
+    ) -> DestinationStandIn:
+        """Listen for calls to all endpoints of a destination."""
         if rng is None:
             rng = np.random.Generator(np.random.PCG64(next(self._seeds)))
-        partner = self.partners[dest.number] = Partner(dest, rng)
-        for endpoint in dest.endpoints:
+        stand_in = self.stand_ins[destination.number] = DestinationStandIn(destination, rng)
+        for endpoint in destination.endpoints:
             await self.add(endpoint)
-        return partner
+        return stand_in
 
     async def add(self, endpoint: Endpoint) -> str:
-        """Listen for one more endpoint of a destination that is open; its address."""
-        place = Place(endpoint, self.partners[endpoint.dest])
-        number, self._hosts = self._hosts, self._hosts + 1
+        """Add an endpoint to a destination that is open, and return its address."""
+        listener = Listener(endpoint, self.stand_ins[endpoint.destination])
+        number, self._endpoint_count = self._endpoint_count, self._endpoint_count + 1
         host = f"127.{1 + (number >> 16 & 63)}.{number >> 8 & 255}.{number & 255 or 1}"
-        await self._listen(place, host, 0)
-        self.places[endpoint.name] = place
-        self._by_dest.setdefault(endpoint.dest, {})[endpoint.name] = place
-        return place.address
+        await self._listen(listener, host, 0)
+        self.listeners[endpoint.name] = listener
+        self._by_destination.setdefault(endpoint.destination, {})[endpoint.name] = listener
+        return listener.address
 
     def remove(self, name: str) -> None:
-        """The endpoint is gone: its connections are reset, new ones refused."""
-        place = self.places.pop(name, None)
-        if place is not None:
-            self._shut(place)
-            host, _, port = place.address.rpartition(":")
+        """Remove an endpoint: reset its connections and refuse new ones."""
+        listener = self.listeners.pop(name, None)
+        if listener is not None:
+            self._close_listener(listener)
+            host, _, port = listener.address.rpartition(":")
             self._by_address.pop((host, int(port)), None)
-            del self._by_dest[place.endpoint.dest][name]
+            del self._by_destination[listener.endpoint.destination][name]
 
     @property
     def addresses(self) -> dict[str, str]:
-        return {name: place.address for name, place in self.places.items()}
+        """Addresses by endpoint name."""
+        return {name: listener.address for name, listener in self.listeners.items()}
 
-    async def _listen(self, place: Place, host: str, port: int) -> None:
-        place.server = await asyncio.get_running_loop().create_server(
-            lambda: place.accept(self._server()), host, port, backlog=1024
+    async def _listen(self, listener: Listener, host: str, port: int) -> None:
+        listener.server = await asyncio.get_running_loop().create_server(
+            lambda: listener.accept(self._server()), host, port, backlog=1024
         )
-        bound = place.server.sockets[0].getsockname()
-        place.address = f"{bound[0]}:{bound[1]}"
-        self._by_address[bound[0], bound[1]] = place
-
-    def _shut(self, place: Place) -> None:
-        if place.server is not None:
-            place.server.close()
-            place.server = None
-        self._reset(place)
-
-    def _reset(self, place: Place) -> None:
-        for transport in self._connections(place):
+        bound = listener.server.sockets[0].getsockname()
+        listener.address = f"{bound[0]}:{bound[1]}"
+        self._by_address[bound[0], bound[1]] = listener
+
+    def _close_listener(self, listener: Listener) -> None:
+        if listener.server is not None:
+            listener.server.close()
+            listener.server = None
+        self._reset_connections(listener)
+
+    def _reset_connections(self, listener: Listener) -> None:
+        for transport in self._connections(listener):
             transport.abort()
 
-    def _connections(self, place: Place) -> list[asyncio.Transport]:
-        """Those that are open to that endpoint."""
-        return [handler.transport for handler in place.handlers if handler.transport is not None]
+    def _connections(self, listener: Listener) -> list[asyncio.Transport]:
+        """Return the endpoint's open connections."""
+        return [handler.transport for handler in listener.handlers if handler.transport is not None]
 
     # ---- outages
 
-    def go_down(self, number: int, kind: OutageKind, until: float) -> None:
-        """A destination's outage begins; ``until`` in monotonic seconds."""
-        partner = self.partners[number]
-        if partner.outage is not None or partner.fallen:
+    def begin_outage(self, number: int, kind: OutageKind, until: float) -> None:
+        """Begin a destination's outage; ``until`` is in monotonic seconds."""
+        stand_in = self.stand_ins[number]
+        if stand_in.outage is not None or stand_in.overloaded:
             return
-        partner.go_down(kind, until)
+        stand_in.begin_outage(kind, until)
         if kind is OutageKind.REFUSED:
-            for place in self._of(number):
-                self._shut(place)
-
-    async def come_back(self, number: int, now: float) -> None:
-        """A destination's outage is over. What it kept open and silent is reset."""
-        partner = self.partners[number]
-        if partner.outage in (OutageKind.SILENT, OutageKind.REFUSED):
-            for place in self._of(number):
-                self._reset(place)
-        partner.come_back(now)
-        for place in self._of(number):
-            if place.server is None and not partner.fallen:
-                host, _, port = place.address.rpartition(":")
-                await self._listen(place, host, int(port))
-
-    def _of(self, number: int) -> list[Place]:
-        return list(self._by_dest.get(number, {}).values())
+            for listener in self._listeners_of(number):
+                self._close_listener(listener)
+
+    async def recover(self, number: int, now: float) -> None:
+        """End a destination's outage. Connections that it kept open without an answer are reset."""
+        stand_in = self.stand_ins[number]
+        if stand_in.outage in (OutageKind.SILENT, OutageKind.REFUSED):
+            for listener in self._listeners_of(number):
+                self._reset_connections(listener)
+        stand_in.recover(now)
+        for listener in self._listeners_of(number):
+            if listener.server is None and not stand_in.overloaded:
+                host, _, port = listener.address.rpartition(":")
+                await self._listen(listener, host, int(port))
+
+    def _listeners_of(self, number: int) -> list[Listener]:
+        return list(self._by_destination.get(number, {}).values())
 
     async def close(self) -> None:
-        self._hang.set()
-        for place in self.places.values():
-            self._shut(place)
+        """Stop listening and end all connections."""
+        self._closing.set()
+        for listener in self.listeners.values():
+            self._close_listener(listener)
         await self._server.shutdown(0.5)
 
     # ---- HTTP
@@ -318,112 +334,119 @@
         transport = request.transport
         if transport is None:
             return web.Response(status=503)
-        place = self._by_address.get(transport.get_extra_info("sockname")[:2])
-        if place is None:
+        listener = self._by_address.get(transport.get_extra_info("sockname")[:2])
+        if listener is None:
             transport.abort()
             return web.Response(status=503)
         if request.method == "GET" and request.path in ("/-/healthy", "/-/load"):
-            return await self._probe(request, place, transport)
+            return await self._probe(request, listener, transport)
         if request.method != "POST" or request.path != "/hook":
             return web.Response(status=404)
         body = await request.read()
         now = time.monotonic()
         relay = request.headers.get(HOLLOW_HEADER)
         if relay is not None:
-            return await self._call(request, place, transport, relay, None, now)
-        ref = request.headers.get("X-Request-ID", "")
-        entry = self.ledger.entries.get(ref)
+            return await self._call(request, listener, transport, relay, None, now)
+        message_id = request.headers.get("X-Request-ID", "")
+        entry = self.ledger.entries.get(message_id)
         if entry is None:
-            self.ledger.violation(Rule.UNKNOWN, f"{ref!r} at {place.endpoint.name}")
+            self.ledger.record_violation(Rule.UNKNOWN, f"{message_id!r} at {listener.endpoint.name}")
             return web.Response(status=400)
-        if entry.out and not self._gone(entry.ref):
-            self.ledger.violation(Rule.TWO_OUT, f"{ref} at {entry.relay}, to {place.endpoint.name}")
-        self.ledger.call(entry, place.endpoint.dest, request.headers.get("Idempotency-Key"), body, now)
-        self._judge(entry.relay, place, now)
-        self._out.setdefault(ref, []).append(transport)
+        if entry.in_flight and not self._all_hung_up(entry.message_id):
+            self.ledger.record_violation(
+                Rule.TWO_OUT, f"{message_id} at {entry.relay}, to {listener.endpoint.name}"
+            )
+        self.ledger.record_attempt(
+            entry, listener.endpoint.destination, request.headers.get("Idempotency-Key"), body, now
+        )
+        self._check_timing(entry.relay, listener, now)
+        self._in_flight.setdefault(message_id, []).append(transport)
         try:
-            return await self._call(request, place, transport, entry.relay, entry, now)
+            return await self._call(request, listener, transport, entry.relay, entry, now)
         finally:
-            entry.out -= 1
-            self._out[ref].remove(transport)
-            if not self._out[ref]:
-                del self._out[ref]
-
-    def _gone(self, ref: str) -> bool:
-        """Whether the relay has given up all calls that we still work on, as the kernel knows it by now."""
-        return all(hung_up(transport) for transport in self._out.get(ref, ()))
-
-    def _judge(self, relay: str, place: Place, now: float) -> None:
-        told = self.told(relay, place.endpoint.name)
-        if told is not None and now > told[1] + DRAIN_GRACE + TIMED_SLACK:
-            self.ledger.violation(
-                Timed.DRAIN, f"{relay} to {place.endpoint.name}, {now - told[1]:.3f} s after {told[0]}"
+            entry.in_flight -= 1
+            self._in_flight[message_id].remove(transport)
+            if not self._in_flight[message_id]:
+                del self._in_flight[message_id]
+
+    def _all_hung_up(self, message_id: str) -> bool:
+        """Return whether the relay has closed all connections with calls in flight, as the kernel sees it."""
+        return all(peer_closed(transport) for transport in self._in_flight.get(message_id, ()))
+
+    def _check_timing(self, relay: str, listener: Listener, now: float) -> None:
+        """Check a call against the drain grace period and the retry-after wait."""
+        last_status = self.last_status(relay, listener.endpoint.name)
+        if last_status is not None and now > last_status[1] + DRAIN_GRACE + TIMING_TOLERANCE:
+            self.ledger.record_violation(
+                Timed.DRAIN,
+                f"{relay} to {listener.endpoint.name}, {now - last_status[1]:.3f} s after {last_status[0]}",
             )
-        written, until = self._waits.get((relay, place.endpoint.dest), (0.0, 0.0))
-        if written + LET_THROUGH + TIMED_SLACK < now < until - TIMED_SLACK:
+        written, until = self._waits.get((relay, listener.endpoint.destination), (0.0, 0.0))
+        if written + WAIT_GRACE + TIMING_TOLERANCE < now < until - TIMING_TOLERANCE:
             early = until - now
-            self.ledger.violation(
-                Timed.WAIT, f"{relay} to destination {place.endpoint.dest}, {early:.3f} s before its end"
+            self.ledger.record_violation(
+                Timed.WAIT,
+                f"{relay} to destination {listener.endpoint.destination}, {early:.3f} s before its end",
             )
 
-    def restarted(self, relay: str) -> None:
-        """A restart ends the waits that a relay was told."""
+    def forget_waits(self, relay: str) -> None:
+        """Drop a relay's retry-after waits: they end with a restart."""
         for pair in [pair for pair in self._waits if pair[0] == relay]:
             del self._waits[pair]
 
     async def _call(
         self,
         request: web.BaseRequest,
-        place: Place,
+        listener: Listener,
         transport: asyncio.Transport,
         relay: str,
         entry: Entry | None,
         now: float,
     ) -> web.StreamResponse:
         self._relays[transport] = relay
-        partner = place.partner
-        decision = self._meet(partner, relay, now)
+        stand_in = listener.stand_in
+        decision = self._handle_call(stand_in, relay, now)
         match decision.verdict:
             case Verdict.SERVED:
                 if entry is not None:
-                    self.ledger.may_have_run(entry, now)
-                seconds = partner.dest.service * float(partner.rng.lognormal(0, SERVICE_SPREAD))
-                partner.out[relay] += 1
+                    self.ledger.record_possible_execution(entry, now)
+                seconds = stand_in.destination.service * float(stand_in.rng.lognormal(0, SERVICE_SPREAD))
+                stand_in.in_flight[relay] += 1
                 try:
                     await self._sleep(seconds)
                 finally:
-                    partner.out[relay] -= 1
-                if partner.outage in (OutageKind.SILENT, OutageKind.REFUSED):
-                    return await self._never(transport)
-                if hung_up(transport):
-                    self.ran_unheard += 1
+                    stand_in.in_flight[relay] -= 1
+                if stand_in.outage in (OutageKind.SILENT, OutageKind.REFUSED):
+                    return await self._withhold_response(transport)
+                if peer_closed(transport):
+                    self.unread_responses += 1
                     return web.Response(status=200)
                 response = await self._answer(request, 200)
                 if entry is not None:
-                    self.ledger.written(entry, time.monotonic())
+                    self.ledger.record_response(entry, time.monotonic())
                 return response
             case Verdict.ERROR:
                 if entry is not None:
-                    self.ledger.may_have_run(entry, now)
-                await self._sleep(0.2 * partner.dest.service)
+                    self.ledger.record_possible_execution(entry, now)
+                await self._sleep(0.2 * stand_in.destination.service)
                 return web.Response(status=500)
             case Verdict.SILENT:
                 if entry is not None:
-                    self.ledger.may_have_run(entry, now)
-                return await self._never(transport)
+                    self.ledger.record_possible_execution(entry, now)
+                return await self._withhold_response(transport)
         if not decision.wait_ms:
             return web.Response(status=503)
-        self._waits[relay, place.endpoint.dest] = (now, now + decision.wait_ms / 1000)
+        self._waits[relay, listener.endpoint.destination] = (now, now + decision.wait_ms / 1000)
         return web.Response(status=429, headers={"X-Backoff-Ms": str(decision.wait_ms)})
 
-    def _meet(self, partner: Partner, relay: str, now: float) -> Decision:
-        fallen = partner.fallen
-        decision = partner.meet(relay, now)
-        if partner.fallen and not fallen and partner.fell_by_knowing:
-            self.ledger.violation(
+    def _handle_call(self, stand_in: DestinationStandIn, relay: str, now: float) -> Decision:
+        overloaded = stand_in.overloaded
+        decision = stand_in.handle_call(relay, now)
+        if stand_in.overloaded and not overloaded and stand_in.overloaded_by_informed:
+            self.ledger.record_violation(
                 Timed.FELL,
-                f"destination {partner.dest.number}, limit {partner.dest.limit:.1f} a second, "
-                f"{now - partner.back_at:.1f} s after an outage of kind {partner.latest.value}",
+                f"destination {stand_in.destination.number}, limit {stand_in.destination.limit:.1f} calls/s, "
+                f"{now - stand_in.recovered_at:.1f} s after an outage of kind {stand_in.latest_outage.value}",
             )
         return decision
 
@@ -434,32 +457,32 @@
         return response
 
     async def _probe(
-        self, request: web.BaseRequest, place: Place, transport: asyncio.Transport
+        self, request: web.BaseRequest, listener: Listener, transport: asyncio.Transport
     ) -> web.StreamResponse:
         if request.path == "/-/load":
-            return web.Response(status=404)  # no reports in this deployment
+            return web.Response(status=404)  # this deployment has no load reports
         self.probes += 1
         relay: str = request.headers.get(HOLLOW_HEADER) or self._relays.get(transport) or "unknown"
-        decision = self._meet(place.partner, relay, time.monotonic())
+        decision = self._handle_call(listener.stand_in, relay, time.monotonic())
         if decision.verdict is Verdict.SILENT:
-            return await self._never(transport)
+            return await self._withhold_response(transport)
         return web.Response(status=200 if decision.verdict is Verdict.SERVED else 503)
 
     async def _sleep(self, seconds: float) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._hang.wait()
+                await self._closing.wait()
 
-    async def _never(self, transport: asyncio.Transport) -> web.StreamResponse:
-        """No answer, until its connection ends."""
-        while not self._hang.is_set() and not transport.is_closing() and not hung_up(transport):
+    async def _withhold_response(self, transport: asyncio.Transport) -> web.StreamResponse:
+        """Send no answer until the connection ends."""
+        while not self._closing.is_set() and not transport.is_closing() and not peer_closed(transport):
             await self._sleep(0.25)
         transport.abort()
         return web.Response(status=503)
 
 
-def hung_up(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has closed, or ended its sending, whatever our loop has read of it so far."""
+def peer_closed(transport: asyncio.BaseTransport) -> bool:
+    """Return whether the peer has closed or half-closed, even if the event loop has not read it yet."""
     sock = transport.get_extra_info("socket")
     if transport.is_closing() or sock is None or sock.fileno() < 0:
         return True
@@ -468,12 +491,15 @@
     return bool(poll.poll(0))
 
 
-def allowed_when_cold(capacity: float) -> float:
-    """Calls that a cold destination bears in a span of ``FALL_SPAN``, at a capacity in calls a second."""
-    most = FALL_MULTIPLE * capacity * FALL_SPAN
-    return most + 2 * math.sqrt(most) + 2
+def overload_threshold(capacity: float) -> float:
+    """Return how many calls a recovering destination survives in ``OVERLOAD_WINDOW``.
+
+    ``capacity`` is in calls per second.
+    """
+    expected = OVERLOAD_MULTIPLE * capacity * OVERLOAD_WINDOW
+    return expected + 2 * math.sqrt(expected) + 2
 
 
-def verdict_totals(partners: Mapping[int, Partner]) -> Counter[Verdict]:
-    """How all destinations met all calls."""
-    return sum((partner.verdicts for partner in partners.values()), Counter())
+def total_verdicts(stand_ins: Mapping[int, DestinationStandIn]) -> Counter[Verdict]:
+    """Count the verdicts of all destinations."""
+    return sum((stand_in.verdicts for stand_in in stand_ins.values()), Counter())
--- a/fleetlab/fleet.py
+++ b/fleetlab/fleet.py
@@ -1,8 +1,9 @@
-"""A fleet as its seed describes it: destinations, endpoints, zones, and all that will befall them.
+"""Fleet generated from a seed: destinations, endpoints, zones, outages, list changes and restarts.
 
-Nothing here opens a socket or looks at a clock. The same plan gives the same fleet, outages, changes and
-restarts. Times are seconds from the start of the traffic, rates are calls (or messages) a second. The
-forms are those of PROTOCOL; the ranges are those of the deployment's description of its partners.
+Nothing here opens a socket or reads a clock. The same plan gives the same fleet, outages, changes and
+restarts. Times are seconds from the start of the traffic, rates are calls (or messages) per second. The data
+formats are those of the relay's protocols; the random ranges follow the deployment's description of its
+destinations.
 """
 
 from __future__ import annotations
@@ -19,72 +20,73 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 NS = 1_000_000_000
-UNDRAWN_PORT = 9  # "discard": nobody listens there, and nobody hands in messages for such a destination
-CONNECTIONS_LIMIT = 1024  # of a relay's descriptors
+DISCARD_PORT = 9  # the "discard" service: nothing listens there; destinations with this port get no messages
+DESCRIPTOR_LIMIT = 1024  # open file descriptors of one relay
 KINDS = ("authority", "trade-partner")
-# Each has a generator of its own, so that more draws in one leave the others as they are.
+# Each stream has its own random generator, so extra draws from one do not change the others.
 STREAMS = ("destinations", "outages", "changes", "restarts", "clients", "endpoints", "hollow", "relays")
 SERVICE_SPREAD = 0.35  # sigma of the logarithm of a service time
-DRAIN_TIME = 3.0  # seconds from an endpoint's drain to its end
-SHORTEST_OUTAGE = 0.25  # of the mean: a failure so short that nobody notices is none
-AIM = 3.0  # seconds in which a message is wanted
-CLASS = "filing"
+DRAIN_TIME = 3.0  # seconds from the start of an endpoint's drain to its removal
+MIN_OUTAGE_SHARE = 0.25  # of the mean length; a shorter outage would pass unnoticed
+TARGET_LATENCY = 3.0  # seconds within which a message should be delivered
+CLASS_NAME = "filing"
 DRAIN_GRACE = 0.5  # seconds
-FALL_SPAN = 1.5  # seconds
-FALL_MULTIPLE = 2.0
-RAMP_TIME = 14.0  # seconds
+OVERLOAD_WINDOW = 1.5  # seconds
+OVERLOAD_MULTIPLE = 2.0
+SLOW_START_DURATION = 14.0  # seconds
 START_CAPACITY = 0.18
 REPEAT_WINDOW = 10.0  # seconds
-MOST_TRIES = 12
+MAX_ATTEMPTS = 12
 
 
 class PlanError(ValueError):
-    """A plan that cannot be played; the text is one line."""
+    """Raised for an invalid plan; the text is one line."""
 
 
 class Plan(BaseModel):
-    """All arguments of a run. Bounds keep it on one machine: under 12 GB and 300 processes."""
+    """Arguments of a run. The bounds keep it on one machine: under 12 GB and 300 processes."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     seed: Annotated[int, Field(ge=0)] = 1
     length: Annotated[float, Field(gt=0, le=86400, description="seconds of traffic")] = 30.0
     destinations: Annotated[int, Field(ge=1, le=1_000_000)] = 24
-    endpoints_each: Annotated[float, Field(ge=1, le=4, description="in the mean; 1 to 4 each")] = 1.4
-    drawn: Annotated[int, Field(ge=1, le=8000, description="destinations that draw traffic, at most")] = 2000
-    skew: Annotated[float, Field(ge=0, le=2, description="Zipf exponent of the destinations' shares")] = 0.7
+    endpoints_each: Annotated[float, Field(ge=1, le=4, description="mean number; each has 1 to 4")] = 1.4
+    drawn: Annotated[int, Field(ge=1, le=8000, description="maximum of destinations with traffic")] = 2000
+    skew: Annotated[float, Field(ge=0, le=2, description="Zipf exponent of the traffic shares")] = 0.7
     regions: Annotated[int, Field(ge=1, le=64)] = 1
-    zones: Annotated[int, Field(ge=1, le=256, description="in all regions together")] = 3
-    relays: Annotated[int, Field(ge=1, le=40, description="real ones")] = 2
-    hollow: Annotated[int, Field(ge=0, le=4000, description="hollow ones")] = 20
-    rate: Annotated[float, Field(gt=0, le=20_000, description="messages a second, all real relays")] = 60.0
-    hollow_rate: Annotated[float, Field(ge=0, le=500, description="messages a second, each hollow one")] = 2.0
+    zones: Annotated[int, Field(ge=1, le=256, description="total over all regions")] = 3
+    relays: Annotated[int, Field(ge=1, le=40, description="number of real relays")] = 2
+    hollow: Annotated[int, Field(ge=0, le=4000, description="number of hollow relays")] = 20
+    rate: Annotated[float, Field(gt=0, le=20_000, description="messages/s, all real relays")] = 60.0
+    hollow_rate: Annotated[float, Field(ge=0, le=500, description="messages/s, each hollow relay")] = 2.0
     load: Annotated[float, Field(gt=0, le=3, description="traffic as a share of the full load")] = 0.6
-    down: Annotated[float, Field(ge=0, le=0.9, description="share of destinations down at any time")] = 0.041
-    outage: Annotated[float, Field(ge=1, le=3600, description="mean seconds of an outage")] = 8.0
-    changes: Annotated[float, Field(ge=0, le=10_000_000, description="changes of the list a day")] = 4600.0
-    speedup: Annotated[float, Field(gt=0, le=100_000, description="days of changes in a day")] = 10.0
-    history: Annotated[int, Field(ge=1, le=100_000, description="versions behind which changes do")] = 4096
-    discovery_call: Annotated[float, Field(ge=0, le=10, description="seconds each call there takes")] = 0.0
-    discovery_down: Annotated[float, Field(ge=0, le=3600, description="seconds, from the middle on")] = 0.0
-    restarts: Annotated[int, Field(ge=0, le=1000, description="of real relays in the run")] = 1
-    hollow_restarts: Annotated[int, Field(ge=0, le=100_000, description="of hollow ones in the run")] = 4
-    memory_mb: Annotated[int, Field(ge=32, le=4096, description="limit of each real relay")] = 192
-    settle: Annotated[float, Field(ge=0, le=120, description="seconds behind the last deadline")] = 3.0
-    deadline: Annotated[float, Field(ge=1, le=600, description="seconds a message may be delivered")] = 10.0
+    down: Annotated[float, Field(ge=0, le=0.9, description="mean share of destinations down")] = 0.041
+    outage: Annotated[float, Field(ge=1, le=3600, description="mean length of an outage in seconds")] = 8.0
+    changes: Annotated[float, Field(ge=0, le=10_000_000, description="endpoint list changes a day")] = 4600.0
+    speedup: Annotated[float, Field(gt=0, le=100_000, description="days of changes in one day")] = 10.0
+    history: Annotated[int, Field(ge=1, le=100_000, description="versions kept for deltas")] = 4096
+    discovery_call: Annotated[float, Field(ge=0, le=10, description="seconds per call to discovery")] = 0.0
+    discovery_down: Annotated[float, Field(ge=0, le=3600, description="seconds, from mid-run on")] = 0.0
+    restarts: Annotated[int, Field(ge=0, le=1000, description="restarts of real relays")] = 1
+    hollow_restarts: Annotated[int, Field(ge=0, le=100_000, description="restarts of hollow relays")] = 4
+    memory_mb: Annotated[int, Field(ge=32, le=4096, description="memory limit per real relay")] = 192
+    settle: Annotated[float, Field(ge=0, le=120, description="seconds after the last deadline")] = 3.0
+    deadline: Annotated[float, Field(ge=1, le=600, description="seconds to deliver a message")] = 10.0
 
     @property
     def fleet_rate(self) -> float:
-        """Messages a second handed in to all relays, real and hollow."""
+        """Messages per second sent to all relays, real and hollow."""
         return self.rate + self.hollow * self.hollow_rate
 
     @property
     def fleet_relays(self) -> int:
+        """Number of relays, real and hollow."""
         return self.relays + self.hollow
 
 
 def read_plan(path: Path | None, overrides: Mapping[str, Any]) -> Plan:
-    """A plan from a TOML file and what stands over it; PlanError with one line where it can't be played."""
+    """Read a plan from a TOML file, with overrides. Raises PlanError with one line if it is invalid."""
     values: dict[str, Any] = {}
     if path is not None:
         try:
@@ -103,40 +105,41 @@
 
 
 class OutageKind(enum.Enum):
-    """What a call meets while its destination is down."""
+    """Failure mode of a destination during an outage."""
 
-    REFUSED = "refused"  # connections are refused, open ones are reset
-    SILENT = "silent"  # nothing comes back; open connections are reset once it is over
-    SHUT = "shut"  # 503
-    TOLD = "told"  # 429 with the time until it opens
+    REFUSED = "refused"  # new connections are refused, open ones are reset
+    SILENT = "silent"  # no responses; open connections are reset when the outage ends
+    UNAVAILABLE = "shut"  # 503
+    RETRY_AFTER = "told"  # 429 with the time until the outage ends
     ERRORS = "errors"  # 500
 
 
 class ChangeKind(enum.Enum):
-    """What a change of the list is about."""
+    """Kind of a change of the endpoint list."""
 
-    REPLACE = "replace"  # an endpoint drains and another takes its place
-    WEIGHT = "weight"  # the listed rate of a destination is another
+    REPLACE = "replace"  # an endpoint drains and a new one replaces it
+    WEIGHT = "weight"  # the listed rate of a destination changes
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A line of the list, but for its address and status."""
+    """One entry of the endpoint list, without its address and status."""
 
     name: str
-    dest: int
+    destination: int
     zone: str
     since_ms: int = 0
 
 
 @dataclass(slots=True)
 class Destination:
-    """An outside system, whose endpoints share one limit.
+    """An outside system whose endpoints share one rate limit.
 
-    ``limit`` is what it takes from all relays together, ``capacity`` what it could do, ``listed`` the rough
-    figure that the list gives for the limit, all in calls a second. ``service`` is the mean time of a call in
-    seconds; ``burst`` is how many calls above the even rate it lets through; ``tells`` the share of its
-    refusals that tell a wait; ``share`` is its part of the traffic, 0 where it draws none.
+    ``limit`` is the rate that it accepts from all relays together, ``capacity`` the rate that it could
+    serve, ``listed`` the estimate of the limit in the endpoint list, all in calls per second. ``service``
+    is the mean time of a call in seconds; ``burst`` is the number of calls that it accepts above the steady
+    rate; ``retry_after_share`` is the share of throttled calls that get a retry-after; ``share`` is its
+    share of the traffic, 0 if it has none.
     """
 
     number: int
@@ -146,38 +149,44 @@
     listed: float
     service: float
     burst: float
-    tells: float
+    retry_after_share: float
     share: float
     endpoints: list[Endpoint]
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
+    """An outage of one destination."""
+
     at: float
     length: float
-    dest: int
+    destination: int
     kind: OutageKind
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
+    """A change of the endpoint list."""
+
     at: float
     kind: ChangeKind
-    dest: int
-    place: int  # of the endpoint among the destination's, for a replacement
-    factor: float  # of the new listed rate, for a weight
+    destination: int
+    position: int  # index of the replaced endpoint in its destination (REPLACE)
+    factor: float  # new listed rate as a multiple of the limit (WEIGHT)
 
 
 @dataclass(frozen=True, slots=True)
 class Restart:
+    """A restart of one relay."""
+
     at: float
     relay: int
-    killed: bool  # SIGKILL alone; else SIGTERM first
+    killed: bool  # by SIGKILL alone; otherwise SIGTERM comes first
     hollow: bool = False
 
 
 class Fleet:
-    """A plan played out on paper."""
+    """The destinations and the schedule of events that a plan generates."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -191,11 +200,11 @@
         self.restarts = self._restarts()
 
     def rng(self, stream: str) -> np.random.Generator:
-        """A fresh generator for one of ``STREAMS``, the same each time."""
+        """Return a new generator for one of ``STREAMS``, with the same seed each time."""
         return np.random.Generator(np.random.PCG64(self._seeds[stream]))
 
     def seeds(self, stream: str, count: int) -> list[np.random.SeedSequence]:
-        """Seeds for each of so many actors of one kind."""
+        """Return ``count`` seeds derived from one of ``STREAMS``, the same each time."""
         base = self._seeds[stream]
         fresh = np.random.SeedSequence(base.entropy, spawn_key=base.spawn_key)
         return fresh.spawn(count)
@@ -204,30 +213,32 @@
         plan, rng = self.plan, self.rng("destinations")
         count, drawn = plan.destinations, min(plan.drawn, plan.destinations)
         shares = np.zeros(count)
-        # Which ones draw the traffic is chance: their numbers must not say it.
+        # Chosen at random, so a destination's number does not reveal its share of the traffic.
         chosen = rng.permutation(count)[:drawn]
         weights = 1.0 / np.arange(1, drawn + 1) ** plan.skew
         shares[chosen] = weights / weights.sum()
         authority = rng.random(count) < 0.33
-        at_full = shares * plan.fleet_rate / plan.load
-        limits = np.maximum(rng.uniform(2.1, 4.2, count), at_full * rng.uniform(0.94, 1.7, count))
-        # What a system can do lies above its calls at full load; cold, it can do a share of that.
-        capacities = np.maximum(limits, at_full * rng.uniform(1.2, 1.6, count))
+        full_load_rate = shares * plan.fleet_rate / plan.load
+        limits = np.maximum(rng.uniform(2.1, 4.2, count), full_load_rate * rng.uniform(0.94, 1.7, count))
+        # The capacity exceeds the calls at full load; during slow start only a share of it is available.
+        capacities = np.maximum(limits, full_load_rate * rng.uniform(1.2, 1.6, count))
         listed = np.round(limits * rng.uniform(0.6, 1.45, count), 2)
         service = rng.uniform(0.23, 0.39, count) * rng.lognormal(0, 0.3, count)
-        tells = np.where(authority, rng.uniform(0.51, 0.99, count), rng.uniform(0.054, 0.4, count))
-        # The mean of 1 + Binomial(3, p) is the mean that is asked for.
-        places = 1 + rng.binomial(3, (plan.endpoints_each - 1) / 3, count)
-        zones = rng.integers(len(self.zone_names), size=int(places.sum()))
-        names = rng.permutation(int(places.sum()))
-        made, at = [], 0
+        retry_after_share = np.where(
+            authority, rng.uniform(0.51, 0.99, count), rng.uniform(0.054, 0.4, count)
+        )
+        # 1 + Binomial(3, p), with p chosen for the mean plan.endpoints_each.
+        endpoint_counts = 1 + rng.binomial(3, (plan.endpoints_each - 1) / 3, count)
+        zones = rng.integers(len(self.zone_names), size=int(endpoint_counts.sum()))
+        names = rng.permutation(int(endpoint_counts.sum()))
+        built, first = [], 0
         for number in range(count):
             endpoints = [
                 Endpoint(f"s-{int(names[k]):08x}", number, self.zone_names[zones[k]])
-                for k in range(at, at + int(places[number]))
+                for k in range(first, first + int(endpoint_counts[number]))
             ]
-            at += len(endpoints)
-            made.append(
+            first += len(endpoints)
+            built.append(
                 Destination(
                     number=number,
                     kind=KINDS[0] if authority[number] else KINDS[1],
@@ -236,65 +247,65 @@
                     listed=float(listed[number]),
                     service=float(service[number]),
                     burst=max(2.0, float(limits[number])),
-                    tells=float(tells[number]),
+                    retry_after_share=float(retry_after_share[number]),
                     share=float(shares[number]),
                     endpoints=endpoints,
                 )
             )
-        return made
+        return built
 
     def _outages(self) -> list[Outage]:
-        """Each drawn destination is up and down in turn: at any time the plan's share of them is down."""
-        plan, rng, found = self.plan, self.rng("outages"), []
+        """Alternate each drawn destination between up and down; on average ``plan.down`` of them are down."""
+        plan, rng, events = self.plan, self.rng("outages"), []
         kinds = list(OutageKind)
         if not plan.down:
             return []
         up = plan.outage * (1 - plan.down) / plan.down
-        for dest in self.drawn:
+        for destination in self.drawn:
             at = 0.0 if rng.random() < plan.down else float(rng.exponential(up))
             while at < plan.length:
-                length = plan.outage * (SHORTEST_OUTAGE + float(rng.exponential(1 - SHORTEST_OUTAGE)))
+                length = plan.outage * (MIN_OUTAGE_SHARE + float(rng.exponential(1 - MIN_OUTAGE_SHARE)))
                 kind = kinds[int(rng.integers(len(kinds)))]
-                found.append(Outage(at, length, dest.number, kind))
+                events.append(Outage(at, length, destination.number, kind))
                 at += length + float(rng.exponential(up))
-        if not found:  # a fleet so small that chance gave none: the plan asks for some
-            dest = self.drawn[int(rng.integers(len(self.drawn)))]
-            found.append(
+        if not events:  # a small fleet may get none by chance, but the plan asks for outages
+            destination = self.drawn[int(rng.integers(len(self.drawn)))]
+            events.append(
                 Outage(
                     plan.length / 3,
                     min(plan.outage, plan.length / 3),
-                    dest.number,
+                    destination.number,
                     kinds[int(rng.integers(len(kinds)))],
                 )
             )
-        return sorted(found, key=lambda outage: (outage.at, outage.dest))
+        return sorted(events, key=lambda outage: (outage.at, outage.destination))
 
     def _changes(self) -> list[Change]:
         plan, rng = self.plan, self.rng("changes")
         count = int(rng.poisson(plan.changes * plan.speedup / 86400 * plan.length))
-        found = []
+        events = []
         for at in np.sort(rng.uniform(0, plan.length, count)):
-            dest = self.destinations[int(rng.integers(plan.destinations))]
+            destination = self.destinations[int(rng.integers(plan.destinations))]
             kind = ChangeKind.REPLACE if rng.random() < 0.7 else ChangeKind.WEIGHT
-            found.append(
+            events.append(
                 Change(
                     float(at),
                     kind,
-                    dest.number,
-                    int(rng.integers(len(dest.endpoints))),
+                    destination.number,
+                    int(rng.integers(len(destination.endpoints))),
                     float(rng.uniform(0.6, 1.45)),
                 )
             )
-        return found
+        return events
 
     def _restarts(self) -> list[Restart]:
-        plan, rng, found = self.plan, self.rng("restarts"), []
-        for n in range(plan.restarts):  # one after the other, as in a rolling restart; every second is a kill
+        plan, rng, events = self.plan, self.rng("restarts"), []
+        for n in range(plan.restarts):  # one at a time, as in a rolling restart; every second one is a kill
             at = plan.length * (n + float(rng.uniform(0.35, 0.65))) / plan.restarts
-            found.append(Restart(at, n % plan.relays, killed=n % 2 == 1))
+            events.append(Restart(at, n % plan.relays, killed=n % 2 == 1))
         if plan.hollow:
             for n in range(plan.hollow_restarts):
-                found.append(
+                events.append(
                     Restart(
                         float(rng.uniform(0, plan.length)),
                         int(rng.integers(plan.hollow)),
@@ -302,26 +313,28 @@
                         hollow=True,
                     )
                 )
-        return sorted(found, key=lambda restart: (restart.at, restart.hollow, restart.relay))
+        return sorted(events, key=lambda restart: (restart.at, restart.hollow, restart.relay))
 
-    # ---- forms
+    # ---- endpoint list, settings and configuration
 
     def lines(self, addresses: Mapping[str, str] | None = None) -> list[dict[str, Any]]:
-        """The list's lines. ``addresses`` by endpoint name; who is not in it has one where nobody listens."""
+        """Return the list's entries; endpoints not in ``addresses`` get an address without a listener."""
         known = addresses or {}
         return [
-            list_line(endpoint, dest, known.get(endpoint.name) or idle_address(n))
-            for n, (dest, endpoint) in enumerate(
-                (dest, endpoint) for dest in self.destinations for endpoint in dest.endpoints
+            list_line(endpoint, destination, known.get(endpoint.name) or unused_address(n))
+            for n, (destination, endpoint) in enumerate(
+                (destination, endpoint)
+                for destination in self.destinations
+                for endpoint in destination.endpoints
             )
         ]
 
     def settings(self, rate: float, zone: int = 0) -> dict[str, Any]:
-        """The settings of one relay in that zone that is handed ``rate`` messages a second."""
+        """Return the settings of a relay in that zone that receives ``rate`` messages per second."""
         plan = self.plan
         shares = [d.share for d in self.drawn]
         service = sum(s * d.service for s, d in zip(shares, self.drawn, strict=True)) / sum(shares)
-        full = rate / plan.load
+        full_load_rate = rate / plan.load
         return {
             "azs": list(self.zone_names),
             "balancers": plan.fleet_relays,
@@ -329,8 +342,8 @@
             "discovery": "automatic",
             "classes": [
                 {
-                    "name": CLASS,
-                    "aim": int(min(AIM, plan.deadline) * NS),
+                    "name": CLASS_NAME,
+                    "aim": int(min(TARGET_LATENCY, plan.deadline) * NS),
                     "deadline": int(plan.deadline * NS),
                     "worth": 1.0,
                     "lateWorth": 0.4,
@@ -342,7 +355,7 @@
             ],
             "clients": {"marksRetry": True},
             "familyInfo": {
-                "callsOut": min(300, max(8, math.ceil(2.2 * full * service))),
+                "callsOut": min(300, max(8, math.ceil(2.2 * full_load_rate * service))),
                 "decay": "even",
                 "feeByZone": [0.0] * len(self.zone_names),
                 "kindApart": [False, False],
@@ -354,8 +367,8 @@
                 "connIdle": 10 * NS,
                 "connectTimeout": NS,
                 "maxRetryAfter": 3 * NS,
-                "mostHeld": max(64, math.ceil(9 * full)),
-                "mostTries": MOST_TRIES,
+                "mostHeld": max(64, math.ceil(9 * full_load_rate)),
+                "mostTries": MAX_ATTEMPTS,
                 "peers": False,
                 "probes": True,
                 "retryAfter": True,
@@ -366,9 +379,9 @@
                 "answerSlack": NS // 50,
                 "askEvery": 10 * NS,
                 "drainGrace": int(DRAIN_GRACE * NS),
-                "fall": int(FALL_SPAN * NS),
-                "fallMultiple": FALL_MULTIPLE,
-                "rampTime": int(RAMP_TIME * NS),
+                "fall": int(OVERLOAD_WINDOW * NS),
+                "fallMultiple": OVERLOAD_MULTIPLE,
+                "rampTime": int(SLOW_START_DURATION * NS),
                 "startCapacity": START_CAPACITY,
             },
             "tenants": [],
@@ -380,43 +393,45 @@
     def config(
         self, name: str, listen: str, discovery: str, known: Mapping[str, Any], seed: str, zone: int = 0
     ) -> dict[str, Any]:
-        """What a real relay's configuration file holds."""
+        """Return the content of a real relay's configuration file."""
         plan = self.plan
         return {
             "name": name,
             "listen": listen,
             "discovery": discovery,
             "seed": seed,
-            "limits": {"cores": 1.0, "memory_mb": plan.memory_mb, "sockets": CONNECTIONS_LIMIT, "disk_mb": 3},
+            "limits": {"cores": 1.0, "memory_mb": plan.memory_mb, "sockets": DESCRIPTOR_LIMIT, "disk_mb": 3},
             "known": known,
             "settings": self.settings(plan.rate / plan.relays, zone),
         }
 
 
 def zone_names(regions: int, zones: int) -> tuple[str, ...]:
-    """Zones dealt out over the regions in turn: ``r0-z0``, ``r1-z0``, ..."""
+    """Return zone names, spread over the regions in turn: ``r0-z0``, ``r1-z0``, ..."""
     return tuple(f"r{n % regions}-z{n // regions}" for n in range(max(regions, zones)))
 
 
-def list_line(endpoint: Endpoint, dest: Destination, address: str, status: str = "Ready") -> dict[str, Any]:
-    """One endpoint in discovery's form."""
+def list_line(
+    endpoint: Endpoint, destination: Destination, address: str, status: str = "Ready"
+) -> dict[str, Any]:
+    """Return one endpoint in the format of discovery."""
     return {
         "name": endpoint.name,
         "address": address,
         "zone": endpoint.zone,
-        "type": dest.kind,
-        "group": dest.number,
+        "type": destination.kind,
+        "group": destination.number,
         "status": status,
-        "weight": dest.listed,
+        "weight": destination.listed,
         "since_ms": endpoint.since_ms,
     }
 
 
-def idle_address(number: int) -> str:
-    """A loopback address of its own where nobody listens."""
-    return f"127.{128 + (number >> 16 & 127)}.{number >> 8 & 255}.{number & 255}:{UNDRAWN_PORT}"
+def unused_address(number: int) -> str:
+    """Return a distinct loopback address on which nothing listens."""
+    return f"127.{128 + (number >> 16 & 127)}.{number >> 8 & 255}.{number & 255}:{DISCARD_PORT}"
 
 
 def snapshot(index: int, lines: Iterable[Mapping[str, Any]]) -> dict[str, Any]:
-    """The whole list in discovery's form."""
+    """Return a snapshot of the endpoint list in the format of discovery."""
     return {"index": index, "snapshot": True, "endpoints": list(lines)}
--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -31,7 +31,7 @@
 from hdrh.histogram import HdrHistogram
 
 from fleetlab.endpoints import HOLLOW_HEADER
-from fleetlab.fleet import NS, Fleet, Plan, Restart, idle_address
+from fleetlab.fleet import NS, Fleet, Plan, Restart, unused_address
 from fleetlab.realrelays import DOWN_TIME, ROOT, end_with_parent, settle_memory
 from starlingwick import interface as io
 from starlingwick.control import Pacer
@@ -200,7 +200,7 @@
             for endpoint in dest.endpoints
         )
         self.addresses = {
-            entry.endpoint: process.spec.addresses.get(entry.endpoint, idle_address(0))
+            entry.endpoint: process.spec.addresses.get(entry.endpoint, unused_address(0))
             for entry in self.known
         }
         self.held: dict[str, Held] = {}
@@ -410,7 +410,7 @@
         limit = aiohttp.ClientTimeout(
             total=seconds, sock_connect=self.settings.limits.connect_timeout / NS, ceil_threshold=math.inf
         )
-        url = f"http://{self.addresses.get(host, idle_address(0))}{path}"
+        url = f"http://{self.addresses.get(host, unused_address(0))}{path}"
         try:
             async with self.session.request(method, url, data=body, headers=headers, timeout=limit) as answer:
                 await answer.read()
--- a/fleetlab/realrelays.py
+++ b/fleetlab/realrelays.py
@@ -20,8 +20,8 @@
 
 import psutil
 
-from fleetlab.clients import Door
-from fleetlab.fleet import CONNECTIONS_LIMIT, PlanError
+from fleetlab.clients import RelayConnections
+from fleetlab.fleet import DESCRIPTOR_LIMIT, PlanError
 
 ROOT = Path(__file__).parent.parent
 READY_TIME = 60.0  # seconds for a start on a machine that is busy
@@ -70,7 +70,7 @@
         self.folder = folder
         self.command = command
         self.root = root
-        self.door = Door(name, "127.0.0.1", free_port())
+        self.pool = RelayConnections(name, "127.0.0.1", free_port())
         self.usage = Usage()
         self.environment: dict[str, str] = {}  # beside what every relay is told
         self.starts = 0
@@ -93,7 +93,7 @@
             "RELAY_CONFIG": str(self.folder / "config.json"),
             "RELAY_STATE": str(self.folder / "state"),
             "RELAY_NAME": self.name,
-            "RELAY_LISTEN": f"{self.door.host}:{self.door.port}",
+            "RELAY_LISTEN": f"{self.pool.host}:{self.pool.port}",
             "TMPDIR": str(self.folder),
             **self.environment,
         }
@@ -123,13 +123,13 @@
                     raise ChildProcessError(f"{self.name} ended with {status}: {self.last_line()}")
                 await asyncio.sleep(0.05)
         self.ready_after.append(time.monotonic() - begun)
-        self.door.open, self.door.killed = True, False
+        self.pool.open, self.pool.killed = True, False
 
     async def _answers(self) -> bool:
         writer = None
         try:
             async with asyncio.timeout(ANSWER_TIME):
-                reader, writer = await asyncio.open_connection(self.door.host, self.door.port)
+                reader, writer = await asyncio.open_connection(self.pool.host, self.pool.port)
                 writer.write(PING)
                 return await reader.readline() == b"+PONG\r\n"
         except (OSError, TimeoutError):
@@ -159,20 +159,20 @@
             else:
                 notice = loop.call_later(KNOCKS_ON, self._shut_door, keep_using)
                 await self._end((signal.SIGTERM, *more))
-            self.door.leaving = False
+            self.pool.draining = False
             await asyncio.sleep(DOWN_TIME)
             notice.cancel()
             await self.start()
         finally:
             self.restarting = False
 
-    def _shut_door(self, leaving: bool) -> None:
-        self.door.open, self.door.leaving = False, leaving
+    def _shut_door(self, draining: bool) -> None:
+        self.pool.open, self.pool.draining = False, draining
 
     def send_signal(self, number: signal.Signals) -> None:
         """Nothing where it has ended."""
         if number is signal.SIGKILL:
-            self.door.killed = True
+            self.pool.killed = True
         if self._process is not None:
             with contextlib.suppress(ProcessLookupError):
                 self._process.send_signal(number)
@@ -180,7 +180,7 @@
     async def stop(self) -> int | None:
         """Its exit status; SIGKILL where SIGTERM was not enough. None where it never ran."""
         self.restarting = True
-        self.door.open = False
+        self.pool.open = False
         return await self._end((signal.SIGTERM,))
 
     async def _end(self, numbers: Sequence[signal.Signals]) -> int | None:
@@ -205,7 +205,7 @@
             return
         if self._process.returncode is not None:
             if not self.restarting and not self.crashed:
-                self.door.open = False
+                self.pool.open = False
                 self.crashed.append(f"{self.name} ended with {self._process.returncode}: {self.last_line()}")
             return
         with contextlib.suppress(psutil.Error):
@@ -234,7 +234,7 @@
     """In the child: the descriptors that a relay is given, and an end with us, however we end."""
     os.setpgid(0, 0)  # Ctrl-C is ours to hear
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (min(CONNECTIONS_LIMIT, hard), hard))
+    resource.setrlimit(resource.RLIMIT_NOFILE, (min(DESCRIPTOR_LIMIT, hard), hard))
     end_with_parent()
 
 
--- a/fleetlab/scale.py
+++ b/fleetlab/scale.py
@@ -26,7 +26,7 @@
 from fleetlab import result
 from fleetlab.agent import Agent
 from fleetlab.clients import Clients
-from fleetlab.endpoints import Endpoints, Verdict, verdict_totals
+from fleetlab.endpoints import Endpoints, Verdict, total_verdicts
 from fleetlab.fleet import (
     DRAIN_TIME,
     Change,
@@ -125,7 +125,7 @@
             call_time=plan.discovery_call,
             history=plan.history,
         )
-        known = json.loads(self.agent.whole())
+        known = json.loads(self.agent.snapshot())
         for n in range(plan.relays):
             relay = self._make_relay(f"n{n}", folder / f"n{n}")
             self.relays.append(relay)
@@ -133,7 +133,7 @@
             relay.configure(
                 fleet.config(
                     relay.name,
-                    f"127.0.0.1:{relay.door.port}",
+                    f"127.0.0.1:{relay.pool.port}",
                     discovery,
                     known,
                     f"{plan.seed}-{n}",
@@ -145,7 +145,7 @@
             *(relay.start() for relay in self.relays),
             self.hollows.start(hollow_agent, self.agent.index, addresses, folder / "hollow.log"),
         )
-        self.clients = Clients(fleet, self.ledger, [relay.door for relay in self.relays], time.monotonic)
+        self.clients = Clients(fleet, self.ledger, [relay.pool for relay in self.relays], time.monotonic)
         del known
         settle_memory()
         self.begun = time.monotonic() + LEAD
@@ -170,7 +170,7 @@
     async def _settle(self) -> None:
         """Until all that was taken on has ended, or its time is up."""
         last = time.monotonic() + self.plan.deadline + self.plan.settle
-        while time.monotonic() < last and (self.ledger.open or self.clients.tasks):
+        while time.monotonic() < last and (self.ledger.open_messages or self.clients.tasks):
             await asyncio.sleep(0.05)
 
     async def _end(self) -> None:
@@ -191,7 +191,7 @@
             async with asyncio.timeout(SHUTDOWN):
                 await self.agent.close()
                 await self.endpoints.close()
-        self.ledger.sweep(math.inf)
+        self.ledger.check_expired(math.inf)
 
     # ---- what befalls the fleet
 
@@ -211,37 +211,43 @@
     async def _outage(self, outage: Outage) -> None:
         await self._until(outage.at)
         self.outages += 1
-        self.endpoints.go_down(outage.dest, outage.kind, self.begun + outage.at + outage.length)
+        self.endpoints.begin_outage(outage.destination, outage.kind, self.begun + outage.at + outage.length)
         await self._until(outage.at + outage.length)
-        await self.endpoints.come_back(outage.dest, time.monotonic())
+        await self.endpoints.recover(outage.destination, time.monotonic())
 
     async def _discovery_outage(self) -> None:
         await self._until(self.plan.length / 2)
-        self.agent.fall_silent()
+        self.agent.suspend()
         await asyncio.sleep(self.plan.discovery_down)
-        self.agent.speak()
+        self.agent.resume()
 
     async def _change(self, change: Change) -> None:
         await self._until(change.at)
         self.changes += 1
-        dest = self.fleet.destinations[change.dest]
-        served = dest.number in self.endpoints.partners
+        destination = self.fleet.destinations[change.destination]
+        served = destination.number in self.endpoints.stand_ins
         if change.kind is ChangeKind.WEIGHT:
-            dest.listed = round(dest.limit * change.factor, 2)
+            destination.listed = round(destination.limit * change.factor, 2)
             self.agent.publish(
-                [list_line(endpoint, dest, self._address(endpoint)) for endpoint in dest.endpoints]
+                [
+                    list_line(endpoint, destination, self._address(endpoint))
+                    for endpoint in destination.endpoints
+                ]
             )
             return
-        place = change.place % len(dest.endpoints)
-        old = dest.endpoints[place]
+        position = change.position % len(destination.endpoints)
+        old = destination.endpoints[position]
         new = replace(old, name=f"{old.name[:10]}-{self.changes}", since_ms=time.time_ns() // 1_000_000)
         address = await self.endpoints.add(new) if served else self._address(old)
-        dest.endpoints[place] = new
+        destination.endpoints[position] = new
         self.agent.publish(
-            [list_line(new, dest, address), list_line(old, dest, self._address(old), "Terminating")]
+            [
+                list_line(new, destination, address),
+                list_line(old, destination, self._address(old), "Terminating"),
+            ]
         )
         await asyncio.sleep(DRAIN_TIME)
-        self.agent.publish([list_line(old, dest, self._address(old), "Gone")])
+        self.agent.publish([list_line(old, destination, self._address(old), "Gone")])
         self.endpoints.remove(old.name)
 
     def _address(self, endpoint: Endpoint) -> str:
@@ -259,18 +265,18 @@
         await self._until(restart.at)
         relay = self.relays[restart.relay]
         if not relay.crashed:
-            self.ledger.restarting(relay.name)
-            self.endpoints.restarted(relay.name)
+            self.ledger.relay_restarting(relay.name)
+            self.endpoints.forget_waits(relay.name)
             await relay.restart(restart.killed)
-            self.endpoints.restarted(relay.name)
-            self.ledger.ready(relay.name, time.monotonic())
+            self.endpoints.forget_waits(relay.name)
+            self.ledger.relay_ready(relay.name, time.monotonic())
 
     def _told(self, relay: str, name: str) -> tuple[str, float] | None:
-        told = self.agent.told.get(relay)
-        return None if told is None else told.statuses.get(name)
+        stats = self.agent.stats.get(relay)
+        return None if stats is None else stats.statuses.get(name)
 
     def _on_notice(self, ref: str, ending: str, wait_ms: int) -> None:
-        self.ledger.notice(ref, ending, wait_ms, time.monotonic())
+        self.ledger.record_notice(ref, ending, wait_ms, time.monotonic())
 
     # ---- what is shown and measured meanwhile
 
@@ -290,14 +296,14 @@
                 if self._whole is not None:
                     self._whole.cancel()
                 return
-            self.ledger.sweep(time.monotonic() - self.plan.settle - SWEEP_BEHIND)
+            self.ledger.check_expired(time.monotonic() - self.plan.settle - SWEEP_BEHIND)
             await asyncio.sleep(SAMPLE_EVERY)
 
     def _line(self) -> str:
         counts, hollow = self.ledger.counts, self.hollows
         broken = sum(self.ledger.broken.values())
         return (
-            f"delivered {counts.delivered} of {counts.offered}, open {self.ledger.open}, "
+            f"delivered {counts.delivered} of {counts.offered}, open {self.ledger.open_messages}, "
             f"refused {counts.refused}, hollow {hollow.total('delivered')} of {hollow.total('offered')}, "
             f"changes {self.changes}, outages {self.outages}, "
             f"restarts {sum(relay.starts - 1 for relay in self.relays)}+{hollow.total('restarts')}, "
@@ -334,10 +340,10 @@
     def _result(self, machine: dict[str, Any], started: str) -> Result:
         ledger, options = self.ledger, self.options
         crashes = [line for relay in self.relays for line in relay.crashed]
-        if self.agent.unreadable:
-            ledger.broken[Rule.UNREADABLE] = self.agent.unreadable
+        if self.agent.unreadable_notices:
+            ledger.broken[Rule.UNREADABLE] = self.agent.unreadable_notices
         self.why_not += [f"crashed: {line}" for line in crashes]
-        unanswered = sum(relay.door.unanswered for relay in self.relays)
+        unanswered = sum(relay.pool.unanswered for relay in self.relays)
         if unanswered:
             self.why_not.append(f"{unanswered} times closed with no answer, on a new connection")
         self.why_not += [
@@ -366,13 +372,13 @@
             figures=self._figures(),
             broken={rule.name.lower(): ledger.broken[rule] for rule in Rule},
             timed={rule.name.lower(): count for rule, count in ledger.timed.items()},
-            violations=ledger.listed,
+            violations=ledger.violation_texts,
             relays={relay.name: self._relay(relay) for relay in self.relays},
         )
 
     def _figures(self) -> dict[str, Figure]:
         counts, plan = self.ledger.counts, self.plan
-        verdicts = verdict_totals(self.endpoints.partners)
+        verdicts = total_verdicts(self.endpoints.stand_ins)
         figures = result.counted(asdict(counts), "messages")
         figures["attempts"] = Figure(value=counts.attempts, unit="calls")
         for name in ("handed_in", "taken", "refused", "abandoned", "failed", "dead", "bounced"):
@@ -380,22 +386,25 @@
         figures["delivered_share"] = share(counts.delivered, counts.offered)
         figures["in_time_share"] = share(counts.in_time, counts.offered)
         figures["offered_rate"] = Figure(value=round(counts.offered / plan.length, 2), unit="messages/s")
-        figures |= result.quantiles("delivery", self.ledger.delivery)
-        figures |= result.quantiles("answer", self.ledger.answers)
+        figures |= result.quantiles("delivery", self.ledger.delivery_latency)
+        figures |= result.quantiles("answer", self.ledger.answer_latency)
         figures |= result.quantiles("hand_in_lateness", self.clients.lateness)
         figures |= result.counted({f"calls_{v.value}": verdicts[v] for v in Verdict}, "calls")
-        by_relay = sum((partner.calls for partner in self.endpoints.partners.values()), Counter[str]())
+        by_relay = sum(
+            (partner.calls_by_relay for partner in self.endpoints.stand_ins.values()), Counter[str]()
+        )
         figures["calls_real"] = Figure(value=sum(by_relay[relay.name] for relay in self.relays), unit="calls")
         figures["calls_hollow"] = Figure(
             value=sum(count for name, count in by_relay.items() if name.startswith("h")), unit="calls"
         )
-        figures["calls_unheard"] = Figure(value=self.endpoints.ran_unheard, unit="calls")
+        figures["calls_unheard"] = Figure(value=self.endpoints.unread_responses, unit="calls")
         figures["probes"] = Figure(value=self.endpoints.probes, unit="probes")
         figures["fallen"] = Figure(
-            value=sum(partner.fallen for partner in self.endpoints.partners.values()), unit="destinations"
+            value=sum(partner.overloaded for partner in self.endpoints.stand_ins.values()),
+            unit="destinations",
         )
         figures["destinations"] = Figure(value=plan.destinations, unit="destinations")
-        figures["list"] = Figure(value=len(self.agent.whole()), unit="bytes")
+        figures["list"] = Figure(value=len(self.agent.snapshot()), unit="bytes")
         figures["changes"] = Figure(value=self.changes, unit="changes")
         figures["versions"] = Figure(value=self.agent.index - 1, unit="versions")
         figures["outages"] = Figure(value=self.outages, unit="outages")
@@ -431,7 +440,7 @@
                 delivery.decode_and_add(latest["delivery"])
                 lateness.decode_and_add(latest["lateness"])
             for text, times in latest.get("heard", {}).items():
-                version = self.agent.published.get(int(text), math.inf)
+                version = self.agent.published_at.get(int(text), math.inf)
                 since = [at - version for at, alive_from in times if alive_from < version < math.inf]
                 told += since
                 if since:
@@ -446,7 +455,7 @@
         return figures
 
     def _relay(self, relay: RealRelay) -> dict[str, Figure]:
-        usage, told = relay.usage, self.agent.told.get(relay.name)
+        usage, stats = relay.usage, self.agent.stats.get(relay.name)
         figures = {
             "starts": Figure(value=relay.starts, unit="starts"),
             "cpu": Figure(value=round(usage.cpu, 3), unit="s"),
@@ -455,14 +464,14 @@
             "memory_limit": Figure(value=self.plan.memory_mb, unit="MB"),
             "descriptors": Figure(value=usage.descriptors, unit="descriptors"),
             "disk": Figure(value=round(usage.disk_mb, 3), unit="MB"),
-            "connections_from_clients": Figure(value=relay.door.connections, unit="connections"),
+            "connections_from_clients": Figure(value=relay.pool.connections, unit="connections"),
         }
-        if told is not None:
+        if stats is not None:
             figures |= {
-                "watches": Figure(value=told.watches, unit="watches"),
-                "whole_lists": Figure(value=told.wholes, unit="lists"),
-                "control": Figure(value=round(told.bytes / self.plan.length, 2), unit="bytes/s"),
-                "notices": Figure(value=told.notices, unit="notices"),
+                "watches": Figure(value=stats.watches, unit="watches"),
+                "whole_lists": Figure(value=stats.snapshots, unit="lists"),
+                "control": Figure(value=round(stats.bytes / self.plan.length, 2), unit="bytes/s"),
+                "notices": Figure(value=stats.notices, unit="notices"),
             }
         return figures | result.spread("ready", relay.ready_after, "s")
 
--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -31,8 +31,8 @@
 import typer
 
 from fleetlab import fit
-from fleetlab.agent import Agent, Told
-from fleetlab.clients import packed
+from fleetlab.agent import Agent, ListenerStats
+from fleetlab.clients import encode_command
 from fleetlab.realrelays import free_port, run_command
 from garnetrelay import discovery
 from garnetrelay.catalog import Catalog
@@ -156,9 +156,9 @@
         self.discovery = await self.agent.listen("relays")
 
     @property
-    def told(self) -> Told:
+    def told(self) -> ListenerStats:
         """What went to all relays' watches."""
-        return self.agent.told["relays"]
+        return self.agent.stats["relays"]
 
     async def destination(self) -> str:
         """The address of a destination that answers."""
@@ -183,7 +183,7 @@
         self.reader, self.writer, self.parser, self.count = reader, writer, hiredis.Reader(), 0
 
     def write(self, *words: str | bytes) -> None:
-        self.writer.write(packed(*words))
+        self.writer.write(encode_command(*words))
 
     async def read(self) -> Any:
         while (answer := self.parser.gets()) is False:
@@ -358,13 +358,13 @@
                 "peak_mb": None,
                 "processor_s": None,
                 "wall_in_force_s": None,
-                "list_mb": len(world.agent.whole()) / 1e6,
+                "list_mb": len(world.agent.snapshot()) / 1e6,
                 "idle_share": None,
                 "watches_in_vain": world.told.watches,
             }
         in_force, processor = time.monotonic() - one.started, one.processor()
         disk = await one.at_rest()
-        resident, told = one.resident(), len(world.agent.whole()) / 1e6
+        resident, told = one.resident(), len(world.agent.snapshot()) / 1e6
         return {
             "resident_mb": resident,
             "peak_mb": one.resident(peak=True),
@@ -436,7 +436,7 @@
     await world.start(lines)
     async with relay(world, lines, folder) as one:
         client = await one.ready()
-        while not world.told.watching:
+        while not world.told.open_watches:
             await asyncio.sleep(0.01)
         await asyncio.sleep(SETTLE)
         idle = await one.share()
--- a/fleetlab/soak.py
+++ b/fleetlab/soak.py
@@ -107,11 +107,11 @@
             await asyncio.sleep(draw.uniform(*BETWEEN_SIGNALS))
 
     async def _signal(self, relay: RealRelay, series: Sequence[Signals]) -> None:
-        self.ledger.restarting(relay.name)
-        self.endpoints.restarted(relay.name)
+        self.ledger.relay_restarting(relay.name)
+        self.endpoints.forget_waits(relay.name)
         await relay.restart(killed=not series, more=series[1:], keep_using=True)
-        self.endpoints.restarted(relay.name)
-        self.ledger.ready(relay.name, asyncio.get_running_loop().time())
+        self.endpoints.forget_waits(relay.name)
+        self.ledger.relay_ready(relay.name, asyncio.get_running_loop().time())
 
     async def _befall(self, relay: RealRelay, draw: random.Random) -> None:
         """Steps of its clock, and a disk that fails for a while."""
@@ -134,7 +134,7 @@
         while self._passed() < LENGTH:
             writer = None
             with contextlib.suppress(OSError):
-                reader, writer = await asyncio.open_connection(relay.door.host, relay.door.port)
+                reader, writer = await asyncio.open_connection(relay.pool.host, relay.pool.port)
                 if writes:
                     writer.write(HALF_A_REQUEST)
                 await reader.read()
--- a/tests/test_fleetlab.py
+++ b/tests/test_fleetlab.py
@@ -21,8 +21,8 @@
 
 from fleetlab.agent import Agent
 from fleetlab.cli import main
-from fleetlab.clients import read_answer
-from fleetlab.endpoints import Endpoints, Partner, Verdict, allowed_when_cold
+from fleetlab.clients import parse_answer
+from fleetlab.endpoints import DestinationStandIn, Endpoints, Verdict, overload_threshold
 from fleetlab.fleet import Destination, Fleet, OutageKind, Plan, list_line
 from fleetlab.ledger import End, Entry, Ledger, Message, Rule, State, Timed
 from garnetrelay.catalog import Catalog
@@ -93,7 +93,7 @@
             change = list_line(dest.endpoints[0], dest, "127.0.0.1:1", "Terminating")
             assert agent.publish([change]) == 8
             assert await line(watch.content) == {"index": 8, "snapshot": False, "endpoints": [change]}
-        assert agent.told["n0"].statuses[dest.endpoints[0].name][0] == "Terminating"
+        assert agent.stats["n0"].statuses[dest.endpoints[0].name][0] == "Terminating"
         gone = change | {"status": "Gone"}
         agent.publish([gone])
         async with session.get(f"http://{address}/api/targets?follow=1&since=7") as watch:
@@ -109,13 +109,13 @@
     change = list_line(fleet.destinations[0].endpoints[0], fleet.destinations[0], "127.0.0.1:1")
     async with aiohttp.ClientSession() as session:
         async with session.get(f"http://{address}/api/targets?follow=1&since=7") as watch:
-            agent.fall_silent()
+            agent.suspend()
             agent.publish([change])
             asked = asyncio.create_task(session.get(f"http://{address}/api/targets"))
             async with session.post(f"http://{address}/v1/notices", data=b"") as answer:
                 assert answer.status == 204
             assert not asked.done()
-            agent.speak()
+            agent.resume()
             assert (await line(watch.content))["index"] == 8
             async with await asked as answer:
                 assert (await answer.json())["index"] == 8
@@ -131,7 +131,7 @@
         for since, whole in ((1, True), (2, False)):
             async with session.get(f"http://{address}/api/targets?follow=1&since={since}") as watch:
                 assert (await line(watch.content))["snapshot"] is whole
-    assert agent.told["n0"].wholes == 1
+    assert agent.stats["n0"].snapshots == 1
     await agent.close()
 
 
@@ -147,18 +147,18 @@
         async with session.post(f"http://{address}/v1/notices", data=bad) as answer:
             assert answer.status == 400
     assert heard == [("a", "dead", 0), ("b", "bounced", 500)]
-    assert agent.unreadable == 1
+    assert agent.unreadable_notices == 1
 
 
-def partner(kind: str, limit: float = 10.0) -> Partner:
+def partner(kind: str, limit: float = 10.0) -> DestinationStandIn:
     dest = Destination(1, kind, limit, limit, limit, 0.2, limit, 1.0, 1.0, [])
-    return Partner(dest, np.random.default_rng(1))
+    return DestinationStandIn(dest, np.random.default_rng(1))
 
 
 @pytest.mark.parametrize("kind", ["authority", "trade-partner"])
 def test_a_partner_takes_its_limit_and_tells_waits(kind: str) -> None:
     it = partner(kind)
-    met = [it.meet("n0", 100 + n / 100) for n in range(1000)]  # ten times what it takes, for 10 s
+    met = [it.handle_call("n0", 100 + n / 100) for n in range(1000)]  # ten times what it takes, for 10 s
     served = sum(decision.verdict is Verdict.SERVED for decision in met)
     assert 95 <= served <= 115
     assert all(decision.wait_ms > 0 for decision in met if decision.verdict is Verdict.LIMITED)
@@ -166,27 +166,27 @@
 
 def test_a_cold_partner_is_pushed_over_by_those_who_saw_it_down() -> None:
     it = partner("trade-partner")
-    it.go_down(OutageKind.SHUT, 110.0)
-    assert it.meet("n0", 105.0).verdict is Verdict.SHUT
-    it.come_back(110.0)
-    most = int(allowed_when_cold(it.capacity(110.0)))
+    it.begin_outage(OutageKind.UNAVAILABLE, 110.0)
+    assert it.handle_call("n0", 105.0).verdict is Verdict.UNAVAILABLE
+    it.recover(110.0)
+    most = int(overload_threshold(it.capacity(110.0)))
     for n in range(most + 2):
-        it.meet("n0", 110 + n / 1000)
-    assert it.fallen and it.fell_by_knowing
-    it.come_back(120.0)
-    assert it.meet("n0", 130.0).verdict is Verdict.SHUT
+        it.handle_call("n0", 110 + n / 1000)
+    assert it.overloaded and it.overloaded_by_informed
+    it.recover(120.0)
+    assert it.handle_call("n0", 130.0).verdict is Verdict.UNAVAILABLE
 
 
 def test_a_cold_partner_bears_what_it_can_do() -> None:
     it = partner("authority", limit=20.0)
-    it.go_down(OutageKind.ERRORS, 110.0)
-    it.come_back(110.0)
+    it.begin_outage(OutageKind.ERRORS, 110.0)
+    it.recover(110.0)
     now, calls = 110.0, 0
     while now < 124:
         now += 1 / it.capacity(now)
-        it.meet("n0", now)
+        it.handle_call("n0", now)
         calls += 1
-    assert not it.fallen and calls > 100
+    assert not it.overloaded and calls > 100
     assert it.capacity(125) == 20.0
 
 
@@ -199,10 +199,10 @@
     async with aiohttp.ClientSession() as session:
         async with session.get(url) as answer:
             assert answer.status == 200
-        endpoints.go_down(0, OutageKind.REFUSED, 0.0)
+        endpoints.begin_outage(0, OutageKind.REFUSED, 0.0)
         with pytest.raises(aiohttp.ClientConnectorError):
             await session.get(url)
-        await endpoints.come_back(0, 0.0)
+        await endpoints.recover(0, 0.0)
         async with session.get(url) as answer:
             assert answer.status in (200, 503)
         endpoints.remove(name)
@@ -219,14 +219,14 @@
     for dest in fleet.drawn:
         await endpoints.open(dest)
     entry = taken(ledger)
-    headers = {"X-Request-ID": entry.ref, "Idempotency-Key": "key"}
+    headers = {"X-Request-ID": entry.message_id, "Idempotency-Key": "key"}
     first = f"http://{endpoints.addresses[fleet.destinations[0].endpoints[0].name]}/hook"
     other = f"http://{endpoints.addresses[fleet.destinations[1].endpoints[0].name]}/hook"
     async with aiohttp.ClientSession() as session:
         async with session.post(first, data=b"body", headers=headers) as answer:
             assert answer.status == 200
         assert entry.end is End.DELIVERED and not ledger.broken
-        endpoints.go_down(0, OutageKind.SILENT, 0.0)
+        endpoints.begin_outage(0, OutageKind.SILENT, 0.0)
         out = asyncio.create_task(session.post(first, data=b"body", headers=headers))
         async with asyncio.timeout(PATIENCE):
             while entry.attempts < 2:
@@ -237,7 +237,7 @@
         out.cancel()
         await asyncio.gather(out, return_exceptions=True)
         async with asyncio.timeout(PATIENCE):  # the client has given that call up: the next one is alone
-            while entry.out:
+            while entry.in_flight:
                 await asyncio.sleep(0.01)
         async with session.post(first.replace("/hook", "/other"), data=b"body", headers=headers) as answer:
             assert answer.status == 404
@@ -250,19 +250,19 @@
 def taken(ledger: Ledger, due: float = 1e12) -> Entry:
     """A message that a relay has just taken on, for destination 0."""
     entry = Entry("ref", "n0", b"body", Message(0, 0, "key", 0.0, due))
-    ledger.offered()
-    ledger.handed_in(entry)
-    ledger.answered(entry, State.TAKEN, 0.001, 0.0)
+    ledger.record_offered()
+    ledger.record_submission(entry)
+    ledger.record_answer(entry, State.ACCEPTED, 0.001, 0.0)
     return entry
 
 
 def test_a_message_without_an_end_is_lost() -> None:
     ledger = Ledger()
     taken(ledger, due=10.0)
-    ledger.sweep(9.0)
-    assert not ledger.broken and ledger.open == 1
-    ledger.sweep(11.0)
-    assert ledger.broken == {Rule.LOST: 1} and ledger.open == 0
+    ledger.check_expired(9.0)
+    assert not ledger.broken and ledger.open_messages == 1
+    ledger.check_expired(11.0)
+    assert ledger.broken == {Rule.LOST: 1} and ledger.open_messages == 0
 
 
 @pytest.mark.parametrize("result", ["dead", "bounced"])
@@ -270,28 +270,28 @@
     ledger = Ledger()
     asked: list[int] = []
     entry = taken(ledger, due=10.0)
-    entry.on_bounce = asked.append
-    ledger.notice("ref", result, 300, 5.0)
-    ledger.notice("ref", result, 300, 5.1)
-    ledger.notice("another", result, 0, 5.1)
+    entry.on_rejection = asked.append
+    ledger.record_notice("ref", result, 300, 5.0)
+    ledger.record_notice("ref", result, 300, 5.1)
+    ledger.record_notice("another", result, 0, 5.1)
     assert (ledger.counts.dead, ledger.counts.bounced) == ((1, 0) if result == "dead" else (0, 1))
     assert asked == ([] if result == "dead" else [300])
-    ledger.call(entry, 0, "key", b"body", 6.0)
+    ledger.record_attempt(entry, 0, "key", b"body", 6.0)
     assert ledger.broken == {Rule.AFTER_END: 1}
-    ledger.sweep(1e13)
+    ledger.check_expired(1e13)
     assert Rule.LOST not in ledger.broken
 
 
 def test_a_delivery_counts_once_its_client_has_heard() -> None:
     ledger = Ledger()
     entry = Entry("ref", "n0", b"body", Message(0, 0, "key", 0.0, 10.0))
-    ledger.handed_in(entry)
-    ledger.call(entry, 0, "key", b"body", 1.0)
-    ledger.written(entry, 1.5)
+    ledger.record_submission(entry)
+    ledger.record_attempt(entry, 0, "key", b"body", 1.0)
+    ledger.record_response(entry, 1.5)
     assert ledger.counts.delivered == 0
-    ledger.answered(entry, State.TAKEN, 0.1, 1.6)
-    assert ledger.counts.delivered == 1 and ledger.open == 0
-    ledger.written(entry, 1.7)
+    ledger.record_answer(entry, State.ACCEPTED, 0.1, 1.6)
+    assert ledger.counts.delivered == 1 and ledger.open_messages == 0
+    ledger.record_response(entry, 1.7)
     assert (ledger.counts.delivered, ledger.counts.repeats) == (1, 1)
 
 
@@ -300,31 +300,31 @@
     ends = {"in time": 10.3, "late": 10.4, "restarting": 12.0, "ready": 13.4, "then": 13.6}
     for ref, ended_at in ends.items():
         if ref == "restarting":
-            ledger.restarting("n0")
+            ledger.relay_restarting("n0")
         if ref == "ready":
-            ledger.ready("n0", 12.0)
-        ledger.handed_in(entry := Entry(ref, "n0", b"body", Message(0, 0, "key", 0.0, 10.0)))
-        ledger.answered(entry, State.TAKEN, 0.001, 0.0)
-        ledger.notice(ref, "dead", 0, ended_at)
+            ledger.relay_ready("n0", 12.0)
+        ledger.record_submission(entry := Entry(ref, "n0", b"body", Message(0, 0, "key", 0.0, 10.0)))
+        ledger.record_answer(entry, State.ACCEPTED, 0.001, 0.0)
+        ledger.record_notice(ref, "dead", 0, ended_at)
     assert ledger.timed == {Timed.LATE_END: 2}
-    assert [line.split()[1] for line in ledger.listed] == ["late", "then"]
+    assert [line.split()[1] for line in ledger.violation_texts] == ["late", "then"]
 
 
 def test_more_attempts_than_allowed_are_counted() -> None:
     ledger = Ledger()
     entry = taken(ledger)
     for _ in range(14):
-        ledger.call(entry, 0, "key", b"body", 1.0)
+        ledger.record_attempt(entry, 0, "key", b"body", 1.0)
     assert ledger.broken == {Rule.TOO_MANY: 2}
 
 
 @pytest.mark.parametrize(
     "reply, meaning",
     [
-        (b"+OK\r\n", (State.TAKEN, 0)),
-        (b"$2\r\nOK\r\n", (State.TAKEN, 0)),
-        (b"-BUSY\r\n", (State.REFUSED, 0)),
-        (b"-BUSY 250\r\n", (State.REFUSED, 250)),
+        (b"+OK\r\n", (State.ACCEPTED, 0)),
+        (b"$2\r\nOK\r\n", (State.ACCEPTED, 0)),
+        (b"-BUSY\r\n", (State.REJECTED, 0)),
+        (b"-BUSY 250\r\n", (State.REJECTED, 250)),
         (b"-ERR no\r\n", (State.FAILED, 0)),
         (b":1\r\n", (State.FAILED, 0)),
     ],
@@ -332,7 +332,7 @@
 def test_a_client_reads_an_answer(reply: bytes, meaning: tuple[State, int]) -> None:
     reader = hiredis.Reader()
     reader.feed(reply)
-    assert read_answer(reader.gets()) == meaning
+    assert parse_answer(reader.gets()) == meaning
 
 
 @pytest.mark.parametrize(
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -863,8 +863,8 @@
     assert [rule.name.lower() for rule in Rule] == BROKEN_NAMES
     assert [rule.name.lower() for rule in Timed] == TIMED_NAMES
     ledger = Ledger()
-    ledger.violation(next(iter(Rule)), "m1")
-    assert ledger.listed == ["lost: m1"]
+    ledger.record_violation(next(iter(Rule)), "m1")
+    assert ledger.violation_texts == ["lost: m1"]
     assert [verdict.value for verdict in Verdict] == ["served", "limited", "shut", "error", "silent"]
     dest = Fleet(Plan()).destinations[0]
     assert list(list_line(dest.endpoints[0], dest, "127.0.0.1:1")) == list(endpoint_line())
