--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -32,8 +32,8 @@
 import typer
 
 from fleetlab import fit
-from fleetlab.agent import Agent, Told
-from fleetlab.clients import packed
+from fleetlab.agent import Agent, ListenerStats
+from fleetlab.clients import encode_command
 from fleetlab.realrelays import free_port, run_command
 from garnetrelay import discovery
 from garnetrelay.catalog import Catalog
@@ -165,9 +165,9 @@
         self.discovery_address = await self.agent.listen("relays")
 
     @property
-    def sent_to_watches(self) -> Told:
+    def sent_to_watches(self) -> ListenerStats:
         """Return the agent's counters of what it has sent to the watches of all relays."""
-        return self.agent.told["relays"]
+        return self.agent.stats["relays"]
 
     async def start_destination(self) -> str:
         """Start a destination that answers, and return its address."""
@@ -193,7 +193,7 @@
 
     def send_command(self, *words: str | bytes) -> None:
         """Send a command without waiting for its answer."""
-        self.writer.write(packed(*words))
+        self.writer.write(encode_command(*words))
 
     async def read_answer(self) -> Any:
         """Return the next answer. Raises ConnectionError if the relay closes the connection."""
@@ -387,7 +387,7 @@
                 "peak_mb": None,
                 "processor_s": None,
                 "wall_in_force_s": None,
-                "list_mb": len(services.agent.whole()) / 1e6,
+                "list_mb": len(services.agent.snapshot()) / 1e6,
                 "idle_share": None,
                 "watches_in_vain": services.sent_to_watches.watches,
             }
@@ -396,7 +396,7 @@
             process.processor_seconds(),
         )
         disk_mb = await process.wait_until_idle()
-        resident_mb, list_mb = process.resident_mb(), len(services.agent.whole()) / 1e6
+        resident_mb, list_mb = process.resident_mb(), len(services.agent.snapshot()) / 1e6
         return {
             "resident_mb": resident_mb,
             "peak_mb": process.resident_mb(peak=True),
@@ -473,7 +473,7 @@
     await services.start(entries)
     async with running_relay(services, entries, folder) as process:
         client = await process.wait_until_ready()
-        while not services.sent_to_watches.watching:
+        while not services.sent_to_watches.open_watches:
             await asyncio.sleep(0.01)
         await asyncio.sleep(SETTLE_SECONDS)
         idle_share = await process.processor_share()
