--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -495,7 +495,7 @@
         if point["size"] == row.size and point["figures"].get(row.figure) is not None:
             return row.times * point["figures"][row.figure], line, 1.0
     value = line.slope * row.size if row.alone else line.at(row.size)
-    return row.times * value, line, line.beyond(row.size)
+    return row.times * value, line, line.extrapolation_factor(row.size)
 
 
 def rows_table(rows: tuple[Row, ...], before: Results, after: Results) -> str:
--- a/fleetlab/cli.py
+++ b/fleetlab/cli.py
@@ -1,4 +1,4 @@
-"""``python -m fleetlab``: a scale run by default, or one of the laboratory's other measurements."""
+"""The command line, ``python -m fleetlab``: a scale run by default, or another command of the laboratory."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from fleetlab.result import Result
 from fleetlab.scale import Options, ScaleRun
 
-# By name of the command: the module that has a function of that name.
-OTHERS = {"slopes": "fleetlab.slopes", "soak": "fleetlab.soak"}
-SHOWN = (
+# Further commands, each with the module that defines a function of the same name.
+SUBCOMMANDS = {"slopes": "fleetlab.slopes", "soak": "fleetlab.soak"}
+SUMMARY_FIGURES = (
     "offered",
     "delivered",
     "delivered_share",
@@ -40,81 +40,96 @@
     "memory",
     "processes",
 )
-BAD_ARGUMENTS = 2
-INTERRUPTED = 130
+EXIT_USAGE = 2
+EXIT_INTERRUPTED = 130
 
 
 def run(
-    config: Annotated[Path | None, typer.Option(help="TOML file with any of these values")] = None,
-    out: Annotated[Path, typer.Option(help="file for the result as JSON")] = Path("fleetlab-result.json"),
-    logs: Annotated[Path | None, typer.Option(help="empty folder that keeps logs and journals")] = None,
-    command: Annotated[str | None, typer.Option(help="starts a real relay; the deploy file's 'run'")] = None,
-    judge_time: Annotated[bool, typer.Option("--judge-time", help="judge rules of time as well")] = False,
-    quiet: Annotated[bool, typer.Option("--quiet", help="no progress")] = False,
+    config: Annotated[
+        Path | None, typer.Option(help="TOML file with values for any of these options")
+    ] = None,
+    out: Annotated[Path, typer.Option(help="file that the JSON result is written to")] = Path(
+        "fleetlab-result.json"
+    ),
+    logs: Annotated[
+        Path | None, typer.Option(help="empty folder in which logs and journals are kept")
+    ] = None,
+    command: Annotated[
+        str | None, typer.Option(help="command that starts a real relay; 'run' of the deploy file by default")
+    ] = None,
+    judge_time: Annotated[
+        bool, typer.Option("--judge-time", help="also judge rules that depend on a clock")
+    ] = False,
+    quiet: Annotated[bool, typer.Option("--quiet", help="show no progress")] = False,
     **values: Any,
 ) -> None:
-    """Play a fleet against real relays and hollow ones, and write what came of it."""
+    """Play a fleet with real and hollow relays and write the result."""
     plan = read_plan(config, {name: value for name, value in values.items() if value is not None})
     try:
         out.open("a").close()
         if logs is not None:
             logs.mkdir(parents=True, exist_ok=True)
-            if any(logs.iterdir()):  # a relay would pick up what it finds in its folder
+            if any(logs.iterdir()):  # a relay would recover state that it finds in its folder
                 raise PlanError(f"{logs}: not empty")
     except OSError as error:
         raise PlanError(f"{error.filename}: {error.strerror}") from None
     options = Options(command or run_command(), logs, judge_time, quiet)
-    played = asyncio.run(play(plan, options))
-    out.write_text(json.dumps(played.model_dump(), indent=1) + "\n")
-    show(played)
+    result = asyncio.run(play(plan, options))
+    out.write_text(json.dumps(result.model_dump(), indent=1) + "\n")
+    print_summary(result)
     print(f"fleetlab: all figures are in {out}", file=sys.stderr)
-    raise typer.Exit(INTERRUPTED if played.interrupted else 0 if played.passed else 1)
+    raise typer.Exit(EXIT_INTERRUPTED if result.interrupted else 0 if result.passed else 1)
 
 
 def laboratory() -> None:
-    """A laboratory for fleets. With no command it plays a scale run."""
+    """Test laboratory for fleets of relays. Plays a scale run if no command is given."""
 
 
 async def play(plan: Plan, options: Options) -> Result:
-    """One run in the present event loop."""
+    """Play one run in the current event loop."""
     return await ScaleRun(plan, options).play()
 
 
 def with_plan_options(function: Callable[..., None]) -> Callable[..., None]:
-    """The function with one more option for each value of a plan."""
-    fixed = [
+    """Return the function with an additional option for each field of ``Plan``."""
+    own_parameters = [
         parameter
         for parameter in inspect.signature(function, eval_str=True).parameters.values()
         if parameter.kind is not inspect.Parameter.VAR_KEYWORD
     ]
-    added = []
-    for name, value in Plan.model_fields.items():
-        text = f"{value.description + '; ' if value.description else ''}{value.default} by default"
-        added.append(
+    plan_parameters = []
+    for name, field_info in Plan.model_fields.items():
+        help_text = (
+            f"{field_info.description + '; ' if field_info.description else ''}"
+            f"{field_info.default} by default"
+        )
+        plan_parameters.append(
             inspect.Parameter(
                 name,
                 inspect.Parameter.KEYWORD_ONLY,
-                annotation=value.annotation,
-                default=typer.Option(None, help=text),
+                annotation=field_info.annotation,
+                default=typer.Option(None, help=help_text),
             )
         )
 
-    def wrapped(**values: Any) -> None:
+    def wrapper(**values: Any) -> None:
         function(**values)
 
-    signature = inspect.Signature([p.replace(kind=inspect.Parameter.KEYWORD_ONLY) for p in fixed] + added)
-    wrapped.__signature__ = signature  # type: ignore[attr-defined]
-    wrapped.__annotations__ = {p.name: p.annotation for p in signature.parameters.values()}
-    wrapped.__doc__ = function.__doc__
-    return wrapped
+    signature = inspect.Signature(
+        [p.replace(kind=inspect.Parameter.KEYWORD_ONLY) for p in own_parameters] + plan_parameters
+    )
+    wrapper.__signature__ = signature  # type: ignore[attr-defined]
+    wrapper.__annotations__ = {p.name: p.annotation for p in signature.parameters.values()}
+    wrapper.__doc__ = function.__doc__
+    return wrapper
 
 
-def show(played: Result) -> None:
-    """The figures that matter most, for people."""
+def print_summary(result: Result) -> None:
+    """Print the most important figures, and the reasons for a failure, to standard error."""
     console = Console(stderr=True)
     table = Table("figure", "value", "unit")
-    for name in SHOWN:
-        figure = played.figures.get(name)
+    for name in SUMMARY_FIGURES:
+        figure = result.figures.get(name)
         if figure is not None and figure.value is not None:
             table.add_row(
                 name,
@@ -122,40 +137,44 @@
                 figure.unit,
             )
     console.print(table)
-    for line in played.why_not:
+    for line in result.why_not:
         console.print(f"not passed: {line}", markup=False, highlight=False)
-    for name, count in played.timed.items():
+    for name, count in result.timed.items():
         console.print(f"timed rule {name}: {count} times", markup=False, highlight=False)
-    if played.passed:
-        console.print("passed: every message that was taken on has its end, and no counted rule was broken")
+    if result.passed:
+        console.print("passed: every accepted message has ended, and no counted rule was broken")
+
 
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Run a command.
 
-def main(words: Sequence[str] | None = None) -> int:
-    """The exit status: 0 passed, 1 not, 2 for arguments or files that can't be used, 130 interrupted."""
-    words = list(sys.argv[1:] if words is None else words)
+    Returns its exit status: 0 passed, 1 failed, 2 unusable arguments or files, 130 interrupted.
+    """
+    arguments = list(sys.argv[1:] if arguments is None else arguments)
     logging.basicConfig(level=logging.WARNING, format="fleetlab: %(message)s")
     app = typer.Typer(add_completion=False, pretty_exceptions_enable=False, no_args_is_help=False)
     app.callback()(laboratory)
     app.command("run")(with_plan_options(run))
-    for name, module in OTHERS.items():
+    for name, module in SUBCOMMANDS.items():
         try:
             app.command(name)(getattr(importlib.import_module(module), name))
         except ModuleNotFoundError as error:
             if error.name != module:
                 raise
-    if not words or words[0].startswith("-") and words[0] != "--help":
-        words = ["run", *words]
+    if not arguments or arguments[0].startswith("-") and arguments[0] != "--help":
+        arguments = ["run", *arguments]
     try:
-        status = app(words, standalone_mode=False, prog_name="python -m fleetlab")
+        status = app(arguments, standalone_mode=False, prog_name="python -m fleetlab")
     except PlanError as error:
-        return complain(str(error))
+        return report_error(str(error))
     except TyperException as error:
-        return complain(" ".join(str(error.format_message()).split()))
+        return report_error(" ".join(str(error.format_message()).split()))
     except (KeyboardInterrupt, typer.Abort):
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
     return status if isinstance(status, int) else 0
 
 
-def complain(text: str) -> int:
+def report_error(text: str) -> int:
+    """Print a one-line error message. Return the exit status for unusable arguments."""
     print(f"fleetlab: {text}", file=sys.stderr)
-    return BAD_ARGUMENTS
+    return EXIT_USAGE
--- a/fleetlab/fit.py
+++ b/fleetlab/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, by least squares."""
+"""Least-squares fits of straight lines to measured points."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 import numpy as np
 
-FEWEST = 4  # different sizes, below which a line says nothing
+MIN_SIZES = 4  # distinct sizes that a fit needs to be meaningful
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """``value = intercept + slope * size``, and how far the points lie from it.
+    """``value = intercept + slope * size``, with the quality of the fit.
 
-    ``slope`` is in the value's unit for each unit of size, ``intercept`` in the value's unit. ``r2`` is the
+    ``slope`` is in the value's unit per unit of size, ``intercept`` in the value's unit. ``r2`` is the
     coefficient of determination, ``residual`` the largest distance of a point from the line as a share of the
     largest value measured. ``smallest`` and ``largest`` are the sizes that were measured.
     """
@@ -27,33 +27,36 @@
     largest: float
 
     def at(self, size: float) -> float:
-        """The line's value at this size, in the value's unit."""
+        """Return the line's value at this size, in the value's unit."""
         return self.intercept + self.slope * size
 
-    def beyond(self, size: float) -> float:
-        """By what factor this size lies beyond the largest measured one, or below the smallest; 1 within."""
+    def extrapolation_factor(self, size: float) -> float:
+        """Return the factor by which a size lies outside the range of measured sizes, or 1 within it."""
         return max(1.0, size / self.largest, self.smallest / size)
 
 
 def line(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """The least squares line (``numpy.linalg.lstsq``). ValueError for fewer than four different sizes, for
-    lists of unequal length, and for values that are not finite."""
+    """Return the least-squares line (``numpy.linalg.lstsq``).
+
+    Raises ValueError for fewer than four distinct sizes, for lists of unequal length, and for values that
+    are not finite.
+    """
     if len(sizes) != len(values):
         raise ValueError(f"{len(sizes)} sizes, {len(values)} values")
-    if len(set(sizes)) < FEWEST:
-        raise ValueError(f"{len(set(sizes))} different sizes: a line takes at least {FEWEST}")
+    if len(set(sizes)) < MIN_SIZES:
+        raise ValueError(f"{len(set(sizes))} different sizes: a line takes at least {MIN_SIZES}")
     x, y = np.asarray(sizes, dtype=float), np.asarray(values, dtype=float)
     if not (np.isfinite(x).all() and np.isfinite(y).all()):
         raise ValueError("a size or a value is not finite")
     (slope, intercept), *_ = np.linalg.lstsq(np.stack([x, np.ones_like(x)], axis=1), y, rcond=None)
-    off = y - (intercept + slope * x)
-    spread = float(((y - y.mean()) ** 2).sum())
+    residuals = y - (intercept + slope * x)
+    total_sum_of_squares = float(((y - y.mean()) ** 2).sum())
     largest = float(np.abs(y).max())
     return Fit(
         slope=float(slope),
         intercept=float(intercept),
-        r2=1.0 - float((off**2).sum()) / spread if spread else 1.0,
-        residual=float(np.abs(off).max()) / largest if largest else 0.0,
+        r2=1.0 - float((residuals**2).sum()) / total_sum_of_squares if total_sum_of_squares else 1.0,
+        residual=float(np.abs(residuals).max()) / largest if largest else 0.0,
         smallest=float(x.min()),
         largest=float(x.max()),
     )
--- a/fleetlab/hollow.py
+++ b/fleetlab/hollow.py
@@ -1,14 +1,16 @@
-"""Hollow relays: many in one process, each a real ``Pacer`` with no journal and no clients' door.
-
-To discovery and to destinations a hollow relay is like any other: it watches the list, its calls go over HTTP
-on connections of its own, count against a destination's limit and heed what it is told, and it is restarted.
-What it lacks is clients on sockets: its own messages are drawn beforehand, and its ``Pacer`` is given only
-the lines of the destinations that they name. So its memory follows its messages and not the list, and
-hundreds fit where the whole list would take hundreds of MB each. A cheaper model than the ``Pacer`` was not
-taken: it would have to be kept like it, and a destination's limit is shared by what the relays decide.
-
-The process reads one JSON line from its standard input, says that it is ready, and starts on the next line.
-It writes its counts every second and ends, with its figures, when its standard input does.
+"""Hollow relays: many in one process, each with a real ``Pacer`` but no journal and no client connections.
+
+Discovery and destinations see a hollow relay as any other relay: it watches the endpoint list, makes HTTP
+calls over its own connections, counts against a destination's limit, honours Retry-After waits and is
+restarted. It has no clients on sockets: its messages are drawn beforehand, and its ``Pacer`` receives only
+the endpoints of the destinations that these messages name. Its memory therefore grows with its messages and
+not with the endpoint list, and hundreds fit where the whole list would take hundreds of MB each. There is no
+cheaper model in place of the ``Pacer``: it would have to be kept consistent with the ``Pacer``, because the
+relays' decisions determine how they share a destination's limit.
+
+The process reads a specification as one JSON line from standard input, reports that it is ready, and starts
+the traffic when it reads the next line. It writes its counts every second. At the end of standard input it
+writes its final figures and exits.
 """
 
 from __future__ import annotations
@@ -32,47 +34,49 @@
 
 from fleetlab.endpoints import HOLLOW_HEADER
 from fleetlab.fleet import NS, Fleet, Plan, Restart, idle_address
-from fleetlab.realrelays import DOWN_TIME, ROOT, end_with_parent, settle_memory
+from fleetlab.realrelays import RESTART_DELAY, ROOT, end_with_parent, settle_memory
 from starlingwick import interface as io
 from starlingwick.control import Pacer
 from starlingwick.settings import parse_settings
 
-STOP_TIME = 3.0  # seconds from SIGTERM to a relay's end
-START_TIME = 1.0  # seconds that a start takes
-SILENCE = 3.0  # seconds without a line: a watch is dead
-WATCH_AGAIN = 0.1  # seconds after a watch has ended, and twice as long after each further one
-WATCH_LATEST = 4.0
-MOST_LINE = 1 << 28
-STATES = {
+SHUTDOWN_TIME = 3.0  # seconds from SIGTERM to the end of a relay's process
+STARTUP_TIME = 1.0  # seconds
+WATCH_TIMEOUT = 3.0  # seconds without data after which a watch is considered dead
+RESUBSCRIBE_DELAY = 0.1  # seconds after a watch has ended; doubles with each further failure
+MAX_RESUBSCRIBE_DELAY = 4.0  # seconds
+MAX_LINE_BYTES = 1 << 28
+AVAILABILITY_BY_STATUS = {
     "Ready": io.Availability.RUNNING,
     "Terminating": io.Availability.STOPPING,
     "Gone": io.Availability.DELETED,
 }
-LABEL = "hollow"
-REPORT_EVERY = 1.0  # seconds
+HOLLOW_LISTENER = "hollow"
+REPORT_INTERVAL = 1.0  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Spec:
-    """What a process of hollow relays is told at its start."""
+    """The specification that a process of hollow relays reads at its start."""
 
     plan: Mapping[str, Any]
-    numbers: tuple[int, ...]  # of its relays
+    numbers: tuple[int, ...]  # of the relays in this process
     agent: str  # host:port
-    index: int  # of the list that all start from
-    addresses: Mapping[str, str]  # by endpoint, of those that are served
+    index: int  # version of the endpoint list that all relays start with
+    addresses: Mapping[str, str]  # of the served endpoints, by endpoint name
 
 
 @dataclass(slots=True)
 class Counts:
+    """Counters of one process of hollow relays."""
+
     offered: int = 0
-    elsewhere: int = 0  # came while the relay was down
+    elsewhere: int = 0  # arrived while the relay was down
     delivered: int = 0
     dead: int = 0
     refused: int = 0
     calls: int = 0
     full: int = 0
-    failed: int = 0  # calls that ended in any other way than well or refused
+    failed: int = 0  # calls that neither succeeded nor were throttled
     probes: int = 0
     restarts: int = 0
     watches: int = 0
@@ -81,28 +85,28 @@
 
 
 @dataclass(slots=True)
-class Held:
-    """A message of a hollow relay."""
+class HeldMessage:
+    """A message that a hollow relay holds."""
 
-    dest: int
+    destination: int
     key: str
-    due: int  # nanoseconds
-    at: int
+    deadline: int  # nanoseconds
+    accepted_at: int
     body: bytes
     attempts: int = 0
-    ran_at: int | None = None
+    possible_run_at: int | None = None
     calls: dict[int, asyncio.Task[None]] = field(default_factory=dict)
-    called_off: set[int] = field(default_factory=set)  # attempts
+    cancelled: set[int] = field(default_factory=set)  # attempts that the Pacer cancelled
 
 
 @functools.lru_cache(maxsize=64)
-def decoded(line: bytes) -> Any:
-    """A line of the watch: hundreds of relays in this process get the same one."""
+def decode_update(line: bytes) -> Any:
+    """Decode one line of a watch. Cached: hundreds of relays in this process receive the same line."""
     return json.loads(line)
 
 
-class Process:
-    """What the hollow relays of this process share: the fleet on paper, and their figures."""
+class HollowProcess:
+    """The state that the hollow relays of one process share: the planned fleet and their figures."""
 
     def __init__(self, spec: Spec) -> None:
         self.spec = spec
@@ -111,52 +115,55 @@
         self.counts = Counts()
         self.delivery = HdrHistogram(1, 3_600_000_000, 3)  # microseconds
         self.lateness = HdrHistogram(1, 3_600_000_000, 3)
-        self.heard: dict[int, list[tuple[float, float]]] = {}
-        """By version: when each relay had it, and when that relay had started, both monotonic seconds."""
-        self.begun = 0
-        self.closing = False
+        self.update_times: dict[int, list[tuple[float, float]]] = {}
+        """For each list version and relay: when the relay received the version and when the relay's process
+        started, in monotonic seconds."""
+        self.traffic_began_at = 0  # monotonic nanoseconds; 0 before the traffic
+        self.stopping = False
         seeds = self.fleet.seeds("hollow", self.plan.hollow)
-        self.relays = {n: Hollow(self, n, seeds[n]) for n in spec.numbers}
+        self.relays = {n: HollowRelay(self, n, seeds[n]) for n in spec.numbers}
         self.tasks: list[asyncio.Task[None]] = []
 
-    async def play(self, commands: asyncio.StreamReader, say: Callable[[Mapping[str, Any]], None]) -> None:
+    async def run(
+        self, commands: asyncio.StreamReader, write_line: Callable[[Mapping[str, Any]], None]
+    ) -> None:
         for relay in self.relays.values():
-            relay.start_up([])
+            relay.start([])
         async with asyncio.timeout(60):
-            while not all(relay.watched for relay in self.relays.values()):
+            while not all(relay.watching for relay in self.relays.values()):
                 await asyncio.sleep(0.02)
         settle_memory()
-        say({"ready": len(self.relays)})
+        write_line({"ready": len(self.relays)})
         if not (line := await commands.readline()):
             return
-        self.begun = int(json.loads(line)["begin"] * NS)
+        self.traffic_began_at = int(json.loads(line)["begin"] * NS)
         loop = asyncio.get_running_loop()
         for relay in self.relays.values():
-            self.tasks.append(loop.create_task(relay.take_messages()))
+            self.tasks.append(loop.create_task(relay.receive_messages()))
         self.tasks.append(loop.create_task(self._restarts()))
-        self.tasks.append(loop.create_task(self._report(say)))
+        self.tasks.append(loop.create_task(self._report(write_line)))
         while await commands.readline():
             pass
-        self.closing = True
+        self.stopping = True
         for task in self.tasks:
             task.cancel()
-        held = sum(len(relay.held) for relay in self.relays.values())
+        held_count = sum(len(relay.held_messages) for relay in self.relays.values())
         for relay in self.relays.values():
-            await relay.die()
-        say(
+            await relay.end_process()
+        write_line(
             {
                 "counts": asdict(self.counts),
-                "held": held,
-                "heard": self.heard,
+                "held": held_count,
+                "heard": self.update_times,
                 "delivery": self.delivery.encode().decode(),
                 "lateness": self.lateness.encode().decode(),
             }
         )
 
-    async def _report(self, say: Callable[[Mapping[str, Any]], None]) -> None:
+    async def _report(self, write_line: Callable[[Mapping[str, Any]], None]) -> None:
         while True:
-            await asyncio.sleep(REPORT_EVERY)
-            say({"counts": asdict(self.counts)})
+            await asyncio.sleep(REPORT_INTERVAL)
+            write_line({"counts": asdict(self.counts)})
 
     async def _restarts(self) -> None:
         async with asyncio.TaskGroup() as group:
@@ -165,256 +172,295 @@
                     group.create_task(self._restart(restart))
 
     async def _restart(self, restart: Restart) -> None:
-        await asyncio.sleep(max(0.0, (self.begun - time.monotonic_ns()) / NS + restart.at))
+        await asyncio.sleep(max(0.0, (self.traffic_began_at - time.monotonic_ns()) / NS + restart.at))
         await self.relays[restart.relay].restart(restart.killed)
 
 
-class Hollow:
+class HollowRelay:
     """One hollow relay."""
 
-    def __init__(self, process: Process, number: int, seed: np.random.SeedSequence) -> None:
+    def __init__(self, process: HollowProcess, number: int, seed: np.random.SeedSequence) -> None:
         self.process = process
         self.name = f"h{number}"
         self.rng = np.random.Generator(np.random.PCG64(seed))
         fleet, plan = process.fleet, process.plan
-        self.zones = {name: n for n, name in enumerate(fleet.zone_names)}
-        self.settings = parse_settings(fleet.settings(max(plan.hollow_rate, 0.1), number % len(self.zones)))
-        self.kinds = {name: n for n, name in enumerate(fleet.settings(1.0)["kinds"])}
+        self.zone_indexes = {name: n for n, name in enumerate(fleet.zone_names)}
+        self.settings = parse_settings(
+            fleet.settings(max(plan.hollow_rate, 0.1), number % len(self.zone_indexes))
+        )
+        self.kind_indexes = {name: n for n, name in enumerate(fleet.settings(1.0)["kinds"])}
         count = int(self.rng.poisson(plan.hollow_rate * plan.length))
-        shares = np.array([dest.share for dest in fleet.drawn])
-        chosen = self.rng.choice(len(fleet.drawn), count, p=shares / shares.sum())
-        times = np.sort(self.rng.uniform(0, plan.length, count))
-        self.messages = [(float(at), fleet.drawn[int(n)].number) for at, n in zip(times, chosen, strict=True)]
-        self.dests = {dest for _, dest in self.messages}
-        self.known = tuple(
+        shares = np.array([destination.share for destination in fleet.drawn])
+        drawn = self.rng.choice(len(fleet.drawn), count, p=shares / shares.sum())
+        arrival_times = np.sort(self.rng.uniform(0, plan.length, count))
+        self.messages = [
+            (float(at), fleet.drawn[int(n)].number) for at, n in zip(arrival_times, drawn, strict=True)
+        ]
+        self.destinations = {destination for _, destination in self.messages}
+        self.known_entries = tuple(
             io.EndpointEntry(
                 endpoint.name,
-                self.zones[endpoint.zone],
-                self.kinds[dest.kind],
-                dest.number,
+                self.zone_indexes[endpoint.zone],
+                self.kind_indexes[destination.kind],
+                destination.number,
                 io.Availability.RUNNING,
-                dest.listed,
+                destination.listed,
             )
-            for dest in fleet.drawn
-            if dest.number in self.dests
-            for endpoint in dest.endpoints
+            for destination in fleet.drawn
+            if destination.number in self.destinations
+            for endpoint in destination.endpoints
         )
         self.addresses = {
             entry.endpoint: process.spec.addresses.get(entry.endpoint, idle_address(0))
-            for entry in self.known
+            for entry in self.known_entries
         }
-        self.held: dict[str, Held] = {}
-        self.index = process.spec.index
+        self.held_messages: dict[str, HeldMessage] = {}
+        self.list_version = process.spec.index
         self.up = False
-        self.watched = False
-        self.alive_from = 0.0
+        self.watching = False
+        self.process_started_at = 0.0
         self.restarting = False
         self.pacer: Pacer | None = None
         self.session: aiohttp.ClientSession | None = None
-        self.inbox: list[io.Event] = []
-        self.turn_due = False
-        self.watcher: asyncio.Task[None] | None = None
+        self.event_queue: list[io.Event] = []
+        self.planning_pass_scheduled = False
+        self.watch_task: asyncio.Task[None] | None = None
         self.timers: set[asyncio.TimerHandle] = set()
-        self.probing: set[asyncio.Task[None]] = set()
-        self.life = 0
+        self.probe_tasks: set[asyncio.Task[None]] = set()
+        self.start_count = 0
 
-    # ---- its life
+    # ---- process lifecycle
 
-    def start_up(self, recovered: list[io.Event]) -> None:
-        """A new process under the same name: it knows the list that its configuration holds."""
-        self.life += 1
-        self.alive_from = time.monotonic()
+    def start(self, recovered: list[io.Event]) -> None:
+        """Start a new process under the same name, with the endpoint list from its configuration."""
+        self.start_count += 1
+        self.process_started_at = time.monotonic()
         self.pacer = Pacer(self.settings, int(self.rng.integers(1 << 62)))
-        self.index = self.process.spec.index
+        self.list_version = self.process.spec.index
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=8, force_close=False),
             headers={HOLLOW_HEADER: self.name},
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding"),
         )
         self.up = True
-        self.post(io.EndpointUpdate(io.UpdateScope.CACHED, self.known), *recovered)
-        self.watcher = asyncio.get_running_loop().create_task(self._watch())
+        self.enqueue_event(io.EndpointUpdate(io.UpdateScope.CACHED, self.known_entries), *recovered)
+        self.watch_task = asyncio.get_running_loop().create_task(self._watch())
 
-    async def die(self) -> None:
-        """Its process is gone: nothing of it is out any more."""
-        self.up = self.watched = False
+    async def end_process(self) -> None:
+        """End the process: cancel its timers, calls, probes and watch, and close its connections."""
+        self.up = self.watching = False
         self.pacer = None
-        self.inbox.clear()
+        self.event_queue.clear()
         for timer in self.timers:
             timer.cancel()
         self.timers.clear()
-        tasks = [call for message in self.held.values() for call in message.calls.values()]
-        tasks += list(self.probing)
-        if self.watcher is not None:
-            tasks.append(self.watcher)
+        tasks = [call for message in self.held_messages.values() for call in message.calls.values()]
+        tasks += list(self.probe_tasks)
+        if self.watch_task is not None:
+            tasks.append(self.watch_task)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        for message in self.held.values():
+        for message in self.held_messages.values():
             message.calls.clear()
         if self.session is not None:
             await self.session.close()
 
     async def restart(self, killed: bool) -> None:
-        """As the platform does it. What it held is on record, and picked up again."""
+        """Restart as the platform does. The new process recovers the held messages, as from a journal."""
         if self.restarting:
             return
         self.restarting = True
         self.process.counts.restarts += 1
         if not killed:
             now = time.monotonic_ns()
-            self.post(io.ShutdownStarted(now + int(STOP_TIME * NS), now + int((STOP_TIME + 2) * NS)))
-            end = time.monotonic() + STOP_TIME
-            while time.monotonic() < end and self.held:
+            self.enqueue_event(
+                io.ShutdownStarted(now + int(SHUTDOWN_TIME * NS), now + int((SHUTDOWN_TIME + 2) * NS))
+            )
+            stop_by = time.monotonic() + SHUTDOWN_TIME
+            while time.monotonic() < stop_by and self.held_messages:
                 await asyncio.sleep(0.05)
-        await self.die()
-        await asyncio.sleep(DOWN_TIME + START_TIME)
+        await self.end_process()
+        await asyncio.sleep(RESTART_DELAY + STARTUP_TIME)
         now = time.monotonic_ns()
         recovered: list[io.Event] = [
             io.MessageRecovered(
-                ref,
+                message_id,
                 0,
-                held.dest,
-                held.key,
-                held.due - now,
-                held.attempts,
-                None if held.ran_at is None else now - held.ran_at,
+                message.destination,
+                message.key,
+                message.deadline - now,
+                message.attempts,
+                None if message.possible_run_at is None else now - message.possible_run_at,
                 -1,
             )
-            for ref, held in self.held.items()
+            for message_id, message in self.held_messages.items()
         ]
-        self.start_up(recovered)
+        self.start(recovered)
         self.restarting = False
 
-    async def take_messages(self) -> None:
-        """What is handed in to it."""
-        process, patience = self.process, int(self.process.plan.deadline * NS)
-        for n, (at, dest) in enumerate(self.messages):
-            due = process.begun / NS + at
-            wait = due - time.monotonic()
+    async def receive_messages(self) -> None:
+        """Feed the drawn messages to the relay at their times."""
+        process, time_left = self.process, int(self.process.plan.deadline * NS)
+        for n, (offset, destination) in enumerate(self.messages):
+            arrives_at = process.traffic_began_at / NS + offset
+            wait = arrives_at - time.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
-            process.lateness.record_value(max(1, round((time.monotonic() - due) * 1e6)))
+            process.lateness.record_value(max(1, round((time.monotonic() - arrives_at) * 1e6)))
             process.counts.offered += 1
             if not self.up or self.restarting:
                 process.counts.elsewhere += 1
                 continue
-            now, ref = time.monotonic_ns(), f"{self.name}-{n:06x}"
-            self.held[ref] = Held(dest, f"k-{ref}", now + patience, now, b"%s:" % ref.encode() * (1 + n % 40))
-            self.post(io.MessageArrived(ref, 0, 0, dest, f"k-{ref}", patience))
+            now, message_id = time.monotonic_ns(), f"{self.name}-{n:06x}"
+            self.held_messages[message_id] = HeldMessage(
+                destination,
+                f"k-{message_id}",
+                now + time_left,
+                now,
+                b"%s:" % message_id.encode() * (1 + n % 40),
+            )
+            self.enqueue_event(io.MessageArrived(message_id, 0, 0, destination, f"k-{message_id}", time_left))
 
-    # ---- its decisions
+    # ---- planning passes
 
-    def post(self, *events: io.Event) -> None:
+    def enqueue_event(self, *events: io.Event) -> None:
         if self.up:
-            self.inbox.extend(events)
-            if not self.turn_due:
-                self.turn_due = True
-                asyncio.get_running_loop().call_soon(self._turn)
-
-    def _turn(self) -> None:
-        self.turn_due = False
-        if self.pacer is None or not self.inbox:
+            self.event_queue.extend(events)
+            if not self.planning_pass_scheduled:
+                self.planning_pass_scheduled = True
+                asyncio.get_running_loop().call_soon(self._run_planning_pass)
+
+    def _run_planning_pass(self) -> None:
+        self.planning_pass_scheduled = False
+        if self.pacer is None or not self.event_queue:
             return
-        events, self.inbox = self.inbox, []
+        events, self.event_queue = self.event_queue, []
         for action in self.pacer.handle(time.monotonic_ns(), events):
-            self._do(action)
+            self._execute(action)
 
-    def _do(self, action: io.Action) -> None:
+    def _execute(self, action: io.Action) -> None:
         loop = asyncio.get_running_loop()
         counts = self.process.counts
         match action:
-            case io.Send(call, host, stop_at):
-                message = self.held[call]
+            case io.Send(message_id, endpoint, deadline):
+                message = self.held_messages[message_id]
                 attempt = message.attempts
                 message.attempts += 1
-                message.calls[attempt] = loop.create_task(self._call(call, message, attempt, host, stop_at))
-            case io.Cancel(call, attempt):
-                held = self.held.get(call)
-                if held is not None and attempt in held.calls:
-                    held.called_off.add(attempt)
-                    held.calls[attempt].cancel()
-            case io.Probe(host, stop_at):
-                probe = loop.create_task(self._probe(host, stop_at))
-                self.probing.add(probe)
-                probe.add_done_callback(self.probing.discard)
-            case io.SetTimer(after, token):
-                self._later(after / NS, lambda: self.post(io.TimerExpired(token)))
-            case io.Reject(call, _):
+                message.calls[attempt] = loop.create_task(
+                    self._call(message_id, message, attempt, endpoint, deadline)
+                )
+            case io.Cancel(message_id, attempt):
+                held_message = self.held_messages.get(message_id)
+                if held_message is not None and attempt in held_message.calls:
+                    held_message.cancelled.add(attempt)
+                    held_message.calls[attempt].cancel()
+            case io.Probe(endpoint, deadline):
+                probe = loop.create_task(self._probe(endpoint, deadline))
+                self.probe_tasks.add(probe)
+                probe.add_done_callback(self.probe_tasks.discard)
+            case io.SetTimer(delay, token):
+                self._call_later(delay / NS, lambda: self.enqueue_event(io.TimerExpired(token)))
+            case io.Reject(message_id, _):
                 counts.refused += 1
-                self.held.pop(call, None)
-            case io.Fail(call):
+                self.held_messages.pop(message_id, None)
+            case io.Fail(message_id):
                 counts.dead += 1
-                self.held.pop(call, None)
+                self.held_messages.pop(message_id, None)
             case io.CloseIdleConnections() | io.Subscribe() | io.Log():
-                pass  # idle connections close by themselves, it always watches, and nobody reads its log
+                pass  # idle connections time out, the list is always watched, and there is no log
 
-    def _later(self, seconds: float, do: Callable[[], None]) -> None:
-        def fire() -> None:
+    def _call_later(self, seconds: float, callback: Callable[[], None]) -> None:
+        def on_timer() -> None:
             self.timers.discard(timer)
-            do()
+            callback()
 
-        timer = asyncio.get_running_loop().call_later(seconds, fire)
+        timer = asyncio.get_running_loop().call_later(seconds, on_timer)
         self.timers.add(timer)
 
-    # ---- its calls
+    # ---- calls
 
-    async def _call(self, ref: str, held: Held, attempt: int, host: str, stop_at: int) -> None:
-        life, begun, counts = self.life, time.monotonic_ns(), self.process.counts
+    async def _call(
+        self, message_id: str, message: HeldMessage, attempt: int, endpoint: str, deadline: int
+    ) -> None:
+        start_count, started_at, counts = self.start_count, time.monotonic_ns(), self.process.counts
         counts.calls += 1
-        stop_at = min(stop_at or held.due, held.due)
-        if held.ran_at is None:
-            held.ran_at = begun  # until its outcome proves that it never ran
-        seconds = max(0.001, (stop_at - begun) / NS)
-        headers = {"X-Request-ID": ref, "Idempotency-Key": held.key, "X-Timeout-Ms": str(int(seconds * 1000))}
+        deadline = min(deadline or message.deadline, message.deadline)
+        if message.possible_run_at is None:
+            message.possible_run_at = started_at  # until an outcome proves that it was not executed
+        timeout_seconds = max(0.001, (deadline - started_at) / NS)
+        headers = {
+            "X-Request-ID": message_id,
+            "Idempotency-Key": message.key,
+            "X-Timeout-Ms": str(int(timeout_seconds * 1000)),
+        }
         try:
-            status, wait = await self._exchange("POST", host, "/hook", seconds, headers, held.body)
+            status, retry_after_ms = await self._exchange(
+                "POST", endpoint, "/hook", timeout_seconds, headers, message.body
+            )
         except asyncio.CancelledError:
-            if attempt not in held.called_off or life != self.life:
+            if attempt not in message.cancelled or start_count != self.start_count:
                 raise
-            status, wait = io.Status.CANCELLED, 0
-        if life != self.life or not self.up:
+            status, retry_after_ms = io.Status.CANCELLED, 0
+        if start_count != self.start_count or not self.up:
             return
-        held.calls.pop(attempt, None)
+        message.calls.pop(attempt, None)
         now = time.monotonic_ns()
-        if status in (io.Status.FULL, io.Status.CONNECT_FAILED, io.Status.MOOT) and held.ran_at == begun:
-            held.ran_at = None
-        done = status is io.Status.OK
+        if (
+            status in (io.Status.FULL, io.Status.CONNECT_FAILED, io.Status.MOOT)
+            and message.possible_run_at == started_at
+        ):
+            message.possible_run_at = None
+        succeeded = status is io.Status.OK
         counts.full += status is io.Status.FULL
         counts.failed += status not in (io.Status.OK, io.Status.FULL)
-        if done and self.held.pop(ref, None) is not None:
+        if succeeded and self.held_messages.pop(message_id, None) is not None:
             counts.delivered += 1
-            self.process.delivery.record_value(max(1, (now - held.at) // 1000))
-        self.post(
-            io.AttemptEnded(ref, attempt, host, status, now - begun, done, wait * 1_000_000, False, None)
+            self.process.delivery.record_value(max(1, (now - message.accepted_at) // 1000))
+        self.enqueue_event(
+            io.AttemptEnded(
+                message_id,
+                attempt,
+                endpoint,
+                status,
+                now - started_at,
+                succeeded,
+                retry_after_ms * 1_000_000,
+                False,
+                None,
+            )
         )
 
-    async def _probe(self, host: str, stop_at: int) -> None:
-        begun = time.monotonic_ns()
+    async def _probe(self, endpoint: str, deadline: int) -> None:
+        started_at = time.monotonic_ns()
         self.process.counts.probes += 1
-        seconds = max(0.001, (stop_at - begun) / NS) if stop_at else 1.5
-        status, _ = await self._exchange("GET", host, "/-/healthy", seconds, {}, None)
-        self.post(io.ProbeEnded(host, status, time.monotonic_ns() - begun, None))
+        timeout_seconds = max(0.001, (deadline - started_at) / NS) if deadline else 1.5
+        status, _ = await self._exchange("GET", endpoint, "/-/healthy", timeout_seconds, {}, None)
+        self.enqueue_event(io.ProbeEnded(endpoint, status, time.monotonic_ns() - started_at, None))
 
     async def _exchange(
         self,
         method: str,
-        host: str,
+        endpoint: str,
         path: str,
-        seconds: float,
+        timeout_seconds: float,
         headers: Mapping[str, str],
         body: bytes | None,
     ) -> tuple[io.Status, int]:
-        """How a call ended, and the wait that it was told, in milliseconds."""
+        """Make one HTTP request. Return its outcome and the Retry-After wait in milliseconds."""
         assert self.session is not None
-        limit = aiohttp.ClientTimeout(
-            total=seconds, sock_connect=self.settings.limits.connect_timeout / NS, ceil_threshold=math.inf
+        client_timeout = aiohttp.ClientTimeout(
+            total=timeout_seconds,
+            sock_connect=self.settings.limits.connect_timeout / NS,
+            ceil_threshold=math.inf,
         )
-        url = f"http://{self.addresses.get(host, idle_address(0))}{path}"
+        url = f"http://{self.addresses.get(endpoint, idle_address(0))}{path}"
         try:
-            async with self.session.request(method, url, data=body, headers=headers, timeout=limit) as answer:
-                await answer.read()
-                return outcome(answer.status, answer.headers.get("X-Backoff-Ms", ""))
+            async with self.session.request(
+                method, url, data=body, headers=headers, timeout=client_timeout
+            ) as response:
+                await response.read()
+                return call_outcome(response.status, response.headers.get("X-Backoff-Ms", ""))
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return io.Status.CONNECT_FAILED, 0
         except TimeoutError:
@@ -422,81 +468,85 @@
         except (aiohttp.ClientError, OSError):
             return io.Status.RESET, 0
 
-    # ---- its list
+    # ---- endpoint list
 
     async def _watch(self) -> None:
         failures = 0
         while True:
             try:
-                await self._follow()
+                await self._read_updates()
             except (aiohttp.ClientError, OSError, TimeoutError):
                 failures += 1
             else:
                 failures = 0
-            if self.watched:
-                failures, self.watched = 0, False
-            wait = min(WATCH_LATEST, WATCH_AGAIN * 2**failures)
-            await asyncio.sleep(wait * float(self.rng.uniform(0.5, 1)))
+            if self.watching:
+                failures, self.watching = 0, False
+            delay = min(MAX_RESUBSCRIBE_DELAY, RESUBSCRIBE_DELAY * 2**failures)
+            await asyncio.sleep(delay * float(self.rng.uniform(0.5, 1)))
 
-    async def _follow(self) -> None:
+    async def _read_updates(self) -> None:
         assert self.session is not None
-        counts, pending = self.process.counts, bytearray()
-        limit = aiohttp.ClientTimeout(total=None, sock_connect=2.0, sock_read=None)
-        url = f"http://{self.process.spec.agent}/api/targets?follow=1&since={self.index}"
-        async with self.session.get(url, timeout=limit) as answer:
-            if answer.status != 200:
+        counts, buffer = self.process.counts, bytearray()
+        client_timeout = aiohttp.ClientTimeout(total=None, sock_connect=2.0, sock_read=None)
+        url = f"http://{self.process.spec.agent}/api/targets?follow=1&since={self.list_version}"
+        async with self.session.get(url, timeout=client_timeout) as response:
+            if response.status != 200:
                 return
             counts.watches += 1
-            self.watched = True
+            self.watching = True
             while True:
-                async with asyncio.timeout(SILENCE):
-                    piece = await answer.content.readany()
-                if not piece or len(pending) > MOST_LINE:
+                async with asyncio.timeout(WATCH_TIMEOUT):
+                    chunk = await response.content.readany()
+                if not chunk or len(buffer) > MAX_LINE_BYTES:
                     return
-                counts.control_bytes += len(piece)
-                pending += piece
-                if b"\n" in piece:
-                    *lines, rest = bytes(pending).split(b"\n")
-                    pending = bytearray(rest)
+                counts.control_bytes += len(chunk)
+                buffer += chunk
+                if b"\n" in chunk:
+                    *lines, remainder = bytes(buffer).split(b"\n")
+                    buffer = bytearray(remainder)
                     for line in lines:
                         if line.strip():
-                            self._news(decoded(line))
+                            self._apply_update(decode_update(line))
 
-    def _news(self, raw: Mapping[str, Any]) -> None:
-        index, whole = int(raw["index"]), bool(raw["snapshot"])
+    def _apply_update(self, update: Mapping[str, Any]) -> None:
+        new_version, is_snapshot = int(update["index"]), bool(update["snapshot"])
         now = time.monotonic()
-        if self.process.begun:
-            for version in range(self.index + 1, index + 1):
-                self.process.heard.setdefault(version, []).append((now, self.alive_from))
-        self.process.counts.wholes += whole
-        self.index = index
+        if self.process.traffic_began_at:
+            for version in range(self.list_version + 1, new_version + 1):
+                self.process.update_times.setdefault(version, []).append((now, self.process_started_at))
+        self.process.counts.wholes += is_snapshot
+        self.list_version = new_version
         entries = []
-        for line in raw["endpoints"]:
-            if line["group"] in self.dests:
-                self.addresses[line["name"]] = line["address"]
+        for fields in update["endpoints"]:
+            if fields["group"] in self.destinations:
+                self.addresses[fields["name"]] = fields["address"]
                 entries.append(
                     io.EndpointEntry(
-                        line["name"],
-                        self.zones[line["zone"]],
-                        self.kinds[line["type"]],
-                        line["group"],
-                        STATES[line["status"]],
-                        float(line["weight"]),
+                        fields["name"],
+                        self.zone_indexes[fields["zone"]],
+                        self.kind_indexes[fields["type"]],
+                        fields["group"],
+                        AVAILABILITY_BY_STATUS[fields["status"]],
+                        float(fields["weight"]),
                     )
                 )
-        if entries or whole:
-            self.post(
-                io.EndpointUpdate(io.UpdateScope.SNAPSHOT if whole else io.UpdateScope.DELTA, tuple(entries))
+        if entries or is_snapshot:
+            self.enqueue_event(
+                io.EndpointUpdate(
+                    io.UpdateScope.SNAPSHOT if is_snapshot else io.UpdateScope.DELTA, tuple(entries)
+                )
             )
 
 
-def outcome(status: int, told: str) -> tuple[io.Status, int]:
-    """What an answer says of a call, and the wait that it tells, in milliseconds."""
+def call_outcome(status: int, backoff_header: str) -> tuple[io.Status, int]:
+    """Return the outcome that an HTTP response means, and its Retry-After wait in milliseconds."""
     match status:
         case 200:
             return io.Status.OK, 0
         case 429:
-            return io.Status.FULL, int(told) if told.isascii() and told.isdigit() else 0
+            return io.Status.FULL, int(
+                backoff_header
+            ) if backoff_header.isascii() and backoff_header.isdigit() else 0
         case 503:
             return io.Status.FULL, 0
         case 504:
@@ -504,22 +554,25 @@
     return io.Status.ERROR, 0
 
 
-# ---- from the run's side
+# ---- parent side
 
 
-class Hollows:
-    """The processes of hollow relays, as the run sees them."""
+class HollowProcesses:
+    """The child processes of hollow relays, started and read by the scale run."""
 
     def __init__(self, plan: Plan, count: int) -> None:
         self.plan = plan
         self.count = min(count, plan.hollow)
         self.children: list[asyncio.subprocess.Process] = []
-        self.latest: list[dict[str, Any]] = []
-        self.ready = 0
-        self._readers: list[asyncio.Task[None]] = []
+        self.latest_reports: list[dict[str, Any]] = []
+        self.ready_count = 0
+        self._reader_tasks: list[asyncio.Task[None]] = []
 
     async def start(self, agent: str, index: int, addresses: Mapping[str, str], log: Path) -> None:
-        """All watch the list when this returns; ChildProcessError or TimeoutError where they don't."""
+        """Start the processes and wait until all relays watch the endpoint list.
+
+        Raises ChildProcessError if a process ends early, TimeoutError if one is not ready in time.
+        """
         for n in range(self.count):
             with log.open("ab") as errors:
                 child = await asyncio.create_subprocess_exec(
@@ -530,81 +583,81 @@
                     stdin=asyncio.subprocess.PIPE,
                     stdout=asyncio.subprocess.PIPE,
                     stderr=errors,
-                    limit=MOST_LINE,
-                    preexec_fn=as_hollow,
+                    limit=MAX_LINE_BYTES,
+                    preexec_fn=prepare_hollow_process,
                 )
             self.children.append(child)
-            self.latest.append({"counts": {}})
-            self._readers.append(asyncio.get_running_loop().create_task(self._read(n, child)))
+            self.latest_reports.append({"counts": {}})
+            self._reader_tasks.append(asyncio.get_running_loop().create_task(self._read(n, child)))
             spec = Spec(
                 self.plan.model_dump(), tuple(range(n, self.plan.hollow, self.count)), agent, index, addresses
             )
             self._write(child, asdict(spec))
         async with asyncio.timeout(90):
-            while self.ready < self.count:
+            while self.ready_count < self.count:
                 if any(child.returncode is not None for child in self.children):
                     raise ChildProcessError("a process of hollow relays ended before it was ready")
                 await asyncio.sleep(0.05)
 
     def begin(self, at: float) -> None:
-        """The traffic begins at that monotonic time."""
+        """Start the traffic at a monotonic time, in seconds."""
         for child in self.children:
             self._write(child, {"begin": at})
 
     async def stop(self) -> bool:
-        """Whether all ended by themselves, with their figures."""
+        """Stop all processes. Return whether each wrote its figures and exited by itself with status 0."""
         for child in self.children:
             if child.stdin is not None:
                 child.stdin.close()
-        well = True
+        all_succeeded = True
         for child in self.children:
             try:
                 async with asyncio.timeout(15):
-                    well = await child.wait() == 0 and well
+                    all_succeeded = await child.wait() == 0 and all_succeeded
             except TimeoutError:
                 child.kill()
                 await child.wait()
-                well = False
-        await asyncio.gather(*self._readers, return_exceptions=True)
-        return well
+                all_succeeded = False
+        await asyncio.gather(*self._reader_tasks, return_exceptions=True)
+        return all_succeeded
 
     def total(self, name: str) -> int:
-        return sum(int(latest["counts"].get(name, 0)) for latest in self.latest)
+        return sum(int(report["counts"].get(name, 0)) for report in self.latest_reports)
 
     @staticmethod
-    def _write(child: asyncio.subprocess.Process, what: Mapping[str, Any]) -> None:
+    def _write(child: asyncio.subprocess.Process, line: Mapping[str, Any]) -> None:
         assert child.stdin is not None
-        child.stdin.write(json.dumps(what).encode() + b"\n")
+        child.stdin.write(json.dumps(line).encode() + b"\n")
 
     async def _read(self, n: int, child: asyncio.subprocess.Process) -> None:
         assert child.stdout is not None
         while line := await child.stdout.readline():
-            said = json.loads(line)
-            if "ready" in said:
-                self.ready += 1
+            report = json.loads(line)
+            if "ready" in report:
+                self.ready_count += 1
             else:
-                self.latest[n] = said
+                self.latest_reports[n] = report
 
 
-def as_hollow() -> None:
-    """In the child: an end with us, however we end. Ctrl-C is ours to hear."""
+def prepare_hollow_process() -> None:
+    """Set up the child process: SIGKILL when its parent ends, and no SIGINT from Ctrl-C."""
     os.setpgid(0, 0)
     end_with_parent()
 
 
 async def serve() -> None:
-    """One process of hollow relays."""
+    """Run one process of hollow relays."""
     loop = asyncio.get_running_loop()
-    commands = asyncio.StreamReader(limit=MOST_LINE)
+    commands = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
     line = await commands.readline()
 
-    def say(what: Mapping[str, Any]) -> None:
-        sys.stdout.write(json.dumps(what, separators=(",", ":")) + "\n")
+    def write_line(message: Mapping[str, Any]) -> None:
+        sys.stdout.write(json.dumps(message, separators=(",", ":")) + "\n")
         sys.stdout.flush()
 
     if line:
-        await Process(Spec(**json.loads(line))).play(commands, say)
+        await HollowProcess(Spec(**json.loads(line))).run(commands, write_line)
 
 
 if __name__ == "__main__":
--- a/fleetlab/realrelays.py
+++ b/fleetlab/realrelays.py
@@ -1,4 +1,4 @@
-"""Real relays, each a process of its own started by the deploy file's ``run``, and what it takes."""
+"""Real relays: each a process started with the deploy file's ``run`` command, and its resource usage."""
 
 from __future__ import annotations
 
@@ -24,20 +24,24 @@
 from fleetlab.fleet import CONNECTIONS_LIMIT, PlanError
 
 ROOT = Path(__file__).parent.parent
-READY_TIME = 60.0  # seconds for a start on a machine that is busy
-ANSWER_TIME = 2.0  # seconds for an answer to PING
-GRACE = 3.7  # seconds from SIGTERM to SIGKILL
-DOWN_TIME = 0.6  # seconds from a process's end to its next start
-SIGNALS_APART = 0.1  # seconds between the signals of a series
-KNOCKS_ON = 0.3  # seconds behind SIGTERM in which new connections keep coming
-NOTICED = 1.5  # seconds until the front notices that a relay has died
-COLLECT_AFTER = (50_000, 50, 1000)  # objects; young collections; middle ones
+READY_TIMEOUT = 60.0  # seconds for a start on a busy machine
+PING_TIMEOUT = 2.0  # seconds
+SHUTDOWN_GRACE = 3.7  # seconds from SIGTERM to SIGKILL
+RESTART_DELAY = 0.6  # seconds from the end of a process to the start of its successor
+SIGNAL_INTERVAL = 0.1  # seconds between the signals of a series
+CONNECTS_AFTER_SIGTERM = 0.3  # seconds after SIGTERM in which clients still open new connections
+DEATH_DETECTION_TIME = 1.5  # seconds until the front end notices that a relay has been killed
+# Objects before a collection of generation 0; collections of generations 0 and 1 before one of the next.
+GC_THRESHOLDS = (50_000, 50, 1000)
 PR_SET_PDEATHSIG = 1  # linux/prctl.h
 PING = b"*1\r\n$4\r\nPING\r\n"
 
 
 def run_command(root: Path = ROOT) -> str:
-    """How one relay is started, as the deploy file says; PlanError with one line where it can't be."""
+    """Return the deploy file's command that starts a relay.
+
+    Raises PlanError, with a one-line message, if the file or the program cannot be used.
+    """
     path = root / "deploy" / "balancer.toml"
     try:
         command = str(tomllib.loads(path.read_text(encoding="utf-8"))["run"])
@@ -47,23 +51,25 @@
         raise PlanError(f"{path}: no command 'run': {error}") from None
     program = command.removeprefix("exec ").split()[0]
     if "/" in program and not os.access(root / program, os.X_OK):
-        raise PlanError(f"{program} is missing: run the 'build' of deploy/balancer.toml first")
+        raise PlanError(
+            f"{program} is missing or not executable: run the 'build' command of deploy/balancer.toml first"
+        )
     return command
 
 
 @dataclass(slots=True)
 class Usage:
-    """What a relay's processes took, over all its lives."""
+    """Resource usage of a relay, over all of its processes."""
 
-    cpu: float = 0.0  # seconds
-    busiest: float = 0.0  # seconds of processor in one second
-    memory_mb: float = 0.0  # resident, at most
-    descriptors: int = 0  # at most
-    disk_mb: float = 0.0  # in its folder, at most, each file in whole 512 bytes
+    cpu_seconds: float = 0.0
+    peak_cores: float = 0.0  # CPU seconds per second
+    peak_memory_mb: float = 0.0  # resident
+    peak_descriptors: int = 0
+    peak_disk_mb: float = 0.0  # in its state folder, each file rounded up to 512 bytes
 
 
 class RealRelay:
-    """One relay: its address, its folder, its present process."""
+    """One relay: its address, its folder and its current process."""
 
     def __init__(self, name: str, folder: Path, command: str, root: Path = ROOT) -> None:
         self.name = name
@@ -72,22 +78,25 @@
         self.root = root
         self.door = Door(name, "127.0.0.1", free_port())
         self.usage = Usage()
-        self.environment: dict[str, str] = {}  # beside what every relay is told
+        self.environment: dict[str, str] = {}  # in addition to the variables that every relay gets
         self.starts = 0
-        self.crashed: list[str] = []  # how it ended where nobody had asked it to
+        self.crash_reports: list[str] = []  # exit status and last log line of an exit that was not requested
         self.restarting = False
-        self.ready_after: list[float] = []  # seconds from each start to its PONG
+        self.ready_times: list[float] = []  # seconds from each start to the answer to PING
         self._process: asyncio.subprocess.Process | None = None
-        self._watched: psutil.Process | None = None
-        self._cpu_before = 0.0
-        self._sampled_at = 0.0
+        self._psutil_process: psutil.Process | None = None
+        self._last_cpu_time = 0.0
+        self._last_sample_at = 0.0
         (folder / "state").mkdir(parents=True, exist_ok=True)
 
     def configure(self, config: Mapping[str, Any]) -> None:
         (self.folder / "config.json").write_text(json.dumps(config, separators=(",", ":")))
 
     async def start(self) -> None:
-        """Start it and wait until it answers PING; TimeoutError or ChildProcessError where it doesn't."""
+        """Start the relay and wait until it answers PING.
+
+        Raises TimeoutError if it does not answer in time, ChildProcessError if it exits first.
+        """
         environment = {
             **os.environ,
             "RELAY_CONFIG": str(self.folder / "config.json"),
@@ -97,9 +106,9 @@
             "TMPDIR": str(self.folder),
             **self.environment,
         }
-        for other in ("RELAY_DISCOVERY", "RELAY_MGMT", "RELAY_INHERITED_FD"):
-            environment.pop(other, None)
-        begun = time.monotonic()
+        for variable in ("RELAY_DISCOVERY", "RELAY_MGMT", "RELAY_INHERITED_FD"):
+            environment.pop(variable, None)
+        started_at = time.monotonic()
         with (self.folder / "log").open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
@@ -107,28 +116,30 @@
                 self.command,
                 cwd=self.root,
                 env=environment,
-                preexec_fn=as_a_relay,
+                preexec_fn=prepare_relay_process,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
             )
         self.starts += 1
-        self._cpu_before, self._sampled_at = 0.0, begun
-        with contextlib.suppress(psutil.NoSuchProcess):  # that it has ended is found out below
-            self._watched = psutil.Process(self._process.pid)
-        async with asyncio.timeout(READY_TIME):
-            while not await self._answers():
-                status = self._process.returncode
-                if status is not None:
-                    raise ChildProcessError(f"{self.name} ended with {status}: {self.last_line()}")
+        self._last_cpu_time, self._last_sample_at = 0.0, started_at
+        with contextlib.suppress(psutil.NoSuchProcess):  # an early exit is reported below
+            self._psutil_process = psutil.Process(self._process.pid)
+        async with asyncio.timeout(READY_TIMEOUT):
+            while not await self._answers_ping():
+                exit_status = self._process.returncode
+                if exit_status is not None:
+                    raise ChildProcessError(
+                        f"{self.name} exited with status {exit_status}: {self.last_log_line()}"
+                    )
                 await asyncio.sleep(0.05)
-        self.ready_after.append(time.monotonic() - begun)
+        self.ready_times.append(time.monotonic() - started_at)
         self.door.open, self.door.killed = True, False
 
-    async def _answers(self) -> bool:
+    async def _answers_ping(self) -> bool:
         writer = None
         try:
-            async with asyncio.timeout(ANSWER_TIME):
+            async with asyncio.timeout(PING_TIMEOUT):
                 reader, writer = await asyncio.open_connection(self.door.host, self.door.port)
                 writer.write(PING)
                 return await reader.readline() == b"+PONG\r\n"
@@ -138,114 +149,131 @@
             if writer is not None:
                 writer.transport.abort()
 
-    def last_line(self) -> str:
-        """The last line of its log, for the one line that says why it did not start."""
+    def last_log_line(self) -> str:
+        """Return the last line of the relay's log, for messages that explain an exit."""
         with contextlib.suppress(OSError):
             lines = (self.folder / "log").read_text(errors="replace").strip().splitlines()
-            return lines[-1] if lines else "it said nothing"
-        return "it said nothing"
+            return lines[-1] if lines else "no log output"
+        return "no log output"
 
     async def restart(
-        self, killed: bool, more: Sequence[signal.Signals] = (), keep_using: bool = False
+        self, killed: bool, more: Sequence[signal.Signals] = (), use_open_connections: bool = False
     ) -> None:
-        """As the platform restarts one: SIGKILL alone, or SIGTERM (and ``more`` signals behind it) with its
-        grace; then started again. ``keep_using``: clients use open connections until it is killed."""
+        """Restart the relay as the platform does.
+
+        Sends SIGKILL, or SIGTERM followed by the ``more`` signals and by SIGKILL after the grace period; then
+        starts it again. With ``use_open_connections``, clients keep using their open connections until the
+        relay has exited.
+        """
         self.restarting = True
         try:
             loop = asyncio.get_running_loop()
             if killed:
-                notice = loop.call_later(NOTICED, self._shut_door, False)
-                await self._end((signal.SIGKILL,))
+                close_timer = loop.call_later(DEATH_DETECTION_TIME, self._close_to_clients, False)
+                await self._signal_and_wait((signal.SIGKILL,))
             else:
-                notice = loop.call_later(KNOCKS_ON, self._shut_door, keep_using)
-                await self._end((signal.SIGTERM, *more))
+                close_timer = loop.call_later(
+                    CONNECTS_AFTER_SIGTERM, self._close_to_clients, use_open_connections
+                )
+                await self._signal_and_wait((signal.SIGTERM, *more))
             self.door.leaving = False
-            await asyncio.sleep(DOWN_TIME)
-            notice.cancel()
+            await asyncio.sleep(RESTART_DELAY)
+            close_timer.cancel()
             await self.start()
         finally:
             self.restarting = False
 
-    def _shut_door(self, leaving: bool) -> None:
+    def _close_to_clients(self, leaving: bool) -> None:
         self.door.open, self.door.leaving = False, leaving
 
-    def send_signal(self, number: signal.Signals) -> None:
-        """Nothing where it has ended."""
-        if number is signal.SIGKILL:
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the relay's process. Does nothing if the process has exited."""
+        if signal_number is signal.SIGKILL:
             self.door.killed = True
         if self._process is not None:
             with contextlib.suppress(ProcessLookupError):
-                self._process.send_signal(number)
+                self._process.send_signal(signal_number)
 
     async def stop(self) -> int | None:
-        """Its exit status; SIGKILL where SIGTERM was not enough. None where it never ran."""
+        """Stop the relay with SIGTERM, or with SIGKILL after the grace period.
+
+        Returns the exit status, or None if the relay was never started.
+        """
         self.restarting = True
         self.door.open = False
-        return await self._end((signal.SIGTERM,))
+        return await self._signal_and_wait((signal.SIGTERM,))
 
-    async def _end(self, numbers: Sequence[signal.Signals]) -> int | None:
-        """Its exit status, once it has ended by these signals; by SIGKILL when its grace is over."""
+    async def _signal_and_wait(self, signals: Sequence[signal.Signals]) -> int | None:
+        """Send the signals, and SIGKILL after the grace period. Return the exit status."""
         process = self._process
         if process is None:
             return None
         self.sample()
         try:
-            async with asyncio.timeout(GRACE):
-                for number in numbers:
-                    self.send_signal(number)
-                    await asyncio.sleep(SIGNALS_APART if len(numbers) > 1 else 0)
+            async with asyncio.timeout(SHUTDOWN_GRACE):
+                for signal_number in signals:
+                    self.send_signal(signal_number)
+                    await asyncio.sleep(SIGNAL_INTERVAL if len(signals) > 1 else 0)
                 return await process.wait()
         except TimeoutError:
             self.send_signal(signal.SIGKILL)
             return await process.wait()
 
     def sample(self) -> None:
-        """Look at its process once; call it about every second."""
-        if self._process is None or self._watched is None:
+        """Measure the process once. To be called about every second."""
+        if self._process is None or self._psutil_process is None:
             return
         if self._process.returncode is not None:
-            if not self.restarting and not self.crashed:
+            if not self.restarting and not self.crash_reports:
                 self.door.open = False
-                self.crashed.append(f"{self.name} ended with {self._process.returncode}: {self.last_line()}")
+                self.crash_reports.append(
+                    f"{self.name} exited with status {self._process.returncode}: {self.last_log_line()}"
+                )
             return
         with contextlib.suppress(psutil.Error):
-            times = self._watched.cpu_times()
-            cpu, now = times.user + times.system, time.monotonic()
-            spent, passed = cpu - self._cpu_before, now - self._sampled_at
+            times = self._psutil_process.cpu_times()
+            cpu_time, now = times.user + times.system, time.monotonic()
+            cpu_delta, elapsed = cpu_time - self._last_cpu_time, now - self._last_sample_at
             usage = self.usage
-            usage.cpu += spent
-            if passed > 0.5:
-                usage.busiest = max(usage.busiest, spent / passed)
-            self._cpu_before, self._sampled_at = cpu, now
-            usage.memory_mb = max(usage.memory_mb, self._watched.memory_info().rss / 1e6)
-            usage.descriptors = max(usage.descriptors, self._watched.num_fds())
+            usage.cpu_seconds += cpu_delta
+            if elapsed > 0.5:
+                usage.peak_cores = max(usage.peak_cores, cpu_delta / elapsed)
+            self._last_cpu_time, self._last_sample_at = cpu_time, now
+            usage.peak_memory_mb = max(usage.peak_memory_mb, self._psutil_process.memory_info().rss / 1e6)
+            usage.peak_descriptors = max(usage.peak_descriptors, self._psutil_process.num_fds())
         with contextlib.suppress(OSError):
             sizes = [path.stat().st_size for path in (self.folder / "state").iterdir()]
-            self.usage.disk_mb = max(self.usage.disk_mb, sum(-(-size // 512) * 512 for size in sizes) / 1e6)
+            self.usage.peak_disk_mb = max(
+                self.usage.peak_disk_mb, sum(-(-size // 512) * 512 for size in sizes) / 1e6
+            )
 
 
 def free_port() -> int:
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        return int(free.getsockname()[1])
+    """Return a TCP port of the loopback address that is free at the moment."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
 
 
-def as_a_relay() -> None:
-    """In the child: the descriptors that a relay is given, and an end with us, however we end."""
-    os.setpgid(0, 0)  # Ctrl-C is ours to hear
+def prepare_relay_process() -> None:
+    """Set up the child process: its limit of descriptors, and SIGKILL when its parent ends."""
+    os.setpgid(0, 0)  # only the parent receives the SIGINT of Ctrl-C
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(CONNECTIONS_LIMIT, hard), hard))
     end_with_parent()
 
 
 def settle_memory() -> None:
-    """What is there now stays: the collector need not go through a whole fleet again and again. Of what
-    comes, only the young is gone through often: a look at all connections held up a run for some 0.2 s."""
+    """Exclude all present objects from garbage collection and make later full collections rare.
+
+    The fleet's objects live until the run ends and need no repeated traversal. A collection that traversed
+    all connections delayed a run by about 0.2 s.
+    """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT_AFTER)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 def end_with_parent() -> None:
-    """The kernel kills this process when the one that started it is gone (prctl(2), PR_SET_PDEATHSIG)."""
+    """Have the kernel kill this process when its parent process ends (prctl(2), PR_SET_PDEATHSIG)."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
--- a/fleetlab/result.py
+++ b/fleetlab/result.py
@@ -1,4 +1,4 @@
-"""The result of a run as JSON: what was played, on what machine, and every figure with its unit."""
+"""The JSON result of a run: its arguments, the machine, and every figure with its unit."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 from pydantic import BaseModel, ConfigDict
 
-SCHEMA = 1
+SCHEMA_VERSION = 1
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -29,28 +29,28 @@
 
 
 class Result(BaseModel):
-    """All of a run. ``broken`` fails it; ``timed`` does only where that was asked for."""
+    """The result of a run. Rules in ``broken`` fail it, those in ``timed`` only with ``judge_time``."""
 
-    schema_version: int = SCHEMA
+    schema_version: int = SCHEMA_VERSION
     passed: bool
-    why_not: list[str]  # one line each
+    why_not: list[str]  # reasons for a failure, one line each
     seed: int
     commit: str
-    changed: bool  # files of the working tree differ from the commit
+    changed: bool  # the working tree differs from the commit
     started: str  # ISO 8601, UTC
     machine: dict[str, Any]
     arguments: dict[str, Any]
-    command: str  # that started each real relay
+    command: str  # started each real relay
     interrupted: bool
     figures: dict[str, Figure]
     broken: dict[str, int]  # rules judged by counts
     timed: dict[str, int]  # rules that depend on a clock
-    violations: list[str]  # the first few, in words
-    relays: dict[str, dict[str, Figure]]  # each real relay
+    violations: list[str]  # descriptions of the first few
+    relays: dict[str, dict[str, Figure]]  # by real relay
 
 
 def machine() -> dict[str, Any]:
-    """What it ran on; ``load`` is the one-minute load average before the run, in runnable processes."""
+    """Describe the machine. ``load`` is the one-minute load average before the run, in runnable processes."""
     return {
         "system": platform.platform(),
         "python": platform.python_version(),
@@ -61,12 +61,12 @@
     }
 
 
-def commit(root: Path) -> tuple[str, bool]:
-    """The commit that is checked out there and whether files differ from it; ``unknown`` without git."""
+def git_state(root: Path) -> tuple[str, bool]:
+    """Return the commit checked out in ``root``, or ``unknown``, and whether files differ from it."""
 
-    def git(*words: str) -> str:
+    def git(*arguments: str) -> str:
         return subprocess.run(
-            ["git", "-C", str(root), *words], capture_output=True, text=True, check=True, timeout=20
+            ["git", "-C", str(root), *arguments], capture_output=True, text=True, check=True, timeout=20
         ).stdout
 
     try:
@@ -75,34 +75,37 @@
         return "unknown", False
 
 
-def now() -> str:
+def utc_now() -> str:
+    """Return the present time, in ISO 8601."""
     return datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
 
 
 def quantiles(name: str, histogram: HdrHistogram) -> dict[str, Figure]:
-    """The usual quantiles of a histogram in microseconds, as milliseconds."""
-    some = histogram.get_total_count() > 0
-    made = {
+    """Return the percentiles and the maximum of a histogram of microseconds, in milliseconds."""
+    has_values = histogram.get_total_count() > 0
+    figures_by_name = {
         f"{name}_p{percent:g}": Figure(
-            value=round(histogram.get_value_at_percentile(percent) / 1000, 3) if some else None, unit="ms"
+            value=round(histogram.get_value_at_percentile(percent) / 1000, 3) if has_values else None,
+            unit="ms",
         )
         for percent in PERCENTILES
     }
-    made[f"{name}_max"] = Figure(
-        value=round(histogram.get_max_value() / 1000, 3) if some else None, unit="ms"
+    figures_by_name[f"{name}_max"] = Figure(
+        value=round(histogram.get_max_value() / 1000, 3) if has_values else None, unit="ms"
     )
-    return made
+    return figures_by_name
 
 
-def spread(name: str, values: Iterable[float], unit: str) -> dict[str, Figure]:
-    """Median and largest of some values."""
-    ordered = sorted(values)
-    middle = round(statistics.median(ordered), 4) if ordered else None
+def median_and_max(name: str, values: Iterable[float], unit: str) -> dict[str, Figure]:
+    """Return the median and the maximum of some values."""
+    sorted_values = sorted(values)
+    median = round(statistics.median(sorted_values), 4) if sorted_values else None
     return {
-        f"{name}_median": Figure(value=middle, unit=unit),
-        f"{name}_max": Figure(value=round(ordered[-1], 4) if ordered else None, unit=unit),
+        f"{name}_median": Figure(value=median, unit=unit),
+        f"{name}_max": Figure(value=round(sorted_values[-1], 4) if sorted_values else None, unit=unit),
     }
 
 
-def counted(values: Mapping[str, int], unit: str) -> dict[str, Figure]:
+def count_figures(values: Mapping[str, int], unit: str) -> dict[str, Figure]:
+    """Return a figure for each count."""
     return {name: Figure(value=value, unit=unit) for name, value in values.items()}
--- a/fleetlab/scale.py
+++ b/fleetlab/scale.py
@@ -1,4 +1,4 @@
-"""The scale run: puts the parts together, plays the plan, and judges what came of it."""
+"""The scale run: starts all parts of a fleet, plays the plan and judges the result."""
 
 from __future__ import annotations
 
@@ -38,86 +38,89 @@
     Restart,
     list_line,
 )
-from fleetlab.hollow import LABEL, Hollows
+from fleetlab.hollow import HOLLOW_LISTENER, HollowProcesses
 from fleetlab.ledger import Ledger, Rule
 from fleetlab.realrelays import RealRelay, settle_memory
 from fleetlab.result import Figure, Result
 
 log = logging.getLogger(__name__)
 
-LEAD = 0.5  # seconds from all being ready to the first message
-HOLLOW_EACH = 250.0  # messages a second that one process of hollow relays can be asked for
-MOST_HOLLOW_PROCESSES = 4
-MOST_MEMORY_MB = 12_000  # of all processes together
-MOST_PROCESSES = 300
-SAMPLE_EVERY = 1.0  # seconds
-SWEEP_BEHIND = 15.0  # seconds behind its time, and the settling, at which a message is judged in mid-run
-PLAIN_EVERY = 5.0  # seconds between lines of progress where there is no terminal
-SHUTDOWN = 30.0  # seconds for all to end
+START_DELAY = 0.5  # seconds from the readiness of all parts to the first message
+HOLLOW_RATE_PER_PROCESS = 250.0  # messages a second that one process of hollow relays can carry
+MAX_HOLLOW_PROCESSES = 4
+MAX_MEMORY_MB = 12_000  # of all processes together
+MAX_PROCESSES = 300
+SAMPLE_INTERVAL = 1.0  # seconds
+# Seconds after its deadline and the settle time at which a message is judged during the run.
+SWEEP_DELAY = 15.0
+PLAIN_PROGRESS_INTERVAL = 5.0  # seconds between progress lines without a terminal
+SHUTDOWN_TIMEOUT = 30.0  # seconds for closing all servers
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """How a run is played, beside what is played."""
+    """Options of a run that are not part of its plan."""
 
-    command: str  # that starts a real relay
-    logs: Path | None = None  # a folder that keeps the relays' logs
+    command: str  # starts a real relay
+    logs: Path | None = None  # folder in which the relays' logs are kept
     judge_time: bool = False
     quiet: bool = False
 
 
 class ScaleRun:
-    """One run. ``play`` it once."""
+    """One run. ``play`` can be called once."""
 
     def __init__(self, plan: Plan, options: Options) -> None:
         self.plan = plan
         self.options = options
         self.fleet = Fleet(plan)
         self.ledger = Ledger()
-        self.why_not: list[str] = []
+        self.failure_reasons: list[str] = []
         self.interrupted = False
-        self.begun = 0.0
-        self.memory_mb = 0.0  # of all processes, at most
+        self.traffic_began_at = 0.0
+        self.memory_mb = 0.0  # peak of all processes together
         self.processes = 0
         self.changes = 0
         self.outages = 0
         self.agent = Agent([])
         self.endpoints = Endpoints(self.ledger, [])
         self.relays: list[RealRelay] = []
-        self.hollows = Hollows(plan, hollow_processes(plan))
+        self.hollow_processes = HollowProcesses(plan, hollow_process_count(plan))
         self.clients = Clients(self.fleet, self.ledger, [], time.monotonic)
-        self._started: set[asyncio.Task[Any]] = set()
-        self._whole: asyncio.Task[Any] | None = None
+        self._tasks: set[asyncio.Task[Any]] = set()
+        self._run_task: asyncio.Task[Any] | None = None
 
     async def play(self) -> Result:
-        """The result, however it went; whatever was started has ended."""
-        machine, started = result.machine(), result.now()
-        raise_descriptors()
+        """Play the plan. Return the result, also of a failed run, after all started processes have ended."""
+        machine, started = result.machine(), result.utc_now()
+        raise_descriptor_limit()
         loop = asyncio.get_running_loop()
-        whole = self._whole = asyncio.current_task()
-        assert whole is not None
-        for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, whole.cancel)
+        run_task = self._run_task = asyncio.current_task()
+        assert run_task is not None
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(signal_number, run_task.cancel)
         with tempfile.TemporaryDirectory(prefix="fleetlab-") as folder:
             try:
                 await self._play(self.options.logs or Path(folder))
             except asyncio.CancelledError:
-                if not self.why_not:
+                if not self.failure_reasons:
                     self.interrupted = True
-                    self.why_not.append("interrupted")
+                    self.failure_reasons.append("interrupted")
             except (OSError, TimeoutError) as error:
-                self.why_not.append(f"not played to its end: {error or type(error).__name__}")
+                self.failure_reasons.append(f"not completed: {error or type(error).__name__}")
             finally:
-                for number in (signal.SIGINT, signal.SIGTERM):
-                    loop.remove_signal_handler(number)
-                await self._end()
+                for signal_number in (signal.SIGINT, signal.SIGTERM):
+                    loop.remove_signal_handler(signal_number)
+                await self._stop_all()
         return self._result(machine, started)
 
     async def _play(self, folder: Path) -> None:
         fleet, plan = self.fleet, self.plan
-        self.endpoints = Endpoints(self.ledger, fleet.seeds("endpoints", len(fleet.drawn)), self._told)
-        for dest in fleet.drawn:
-            await self.endpoints.open(dest)
+        self.endpoints = Endpoints(
+            self.ledger, fleet.seeds("endpoints", len(fleet.drawn)), self._last_status_sent
+        )
+        for destination in fleet.drawn:
+            await self.endpoints.open(destination)
         addresses = self.endpoints.addresses
         self.agent = Agent(
             fleet.lines(addresses),
@@ -125,33 +128,35 @@
             call_time=plan.discovery_call,
             history=plan.history,
         )
-        known = json.loads(self.agent.whole())
+        known_list = json.loads(self.agent.whole())
         for n in range(plan.relays):
             relay = self._make_relay(f"n{n}", folder / f"n{n}")
             self.relays.append(relay)
-            discovery = await self.agent.listen(relay.name)
+            discovery_address = await self.agent.listen(relay.name)
             relay.configure(
                 fleet.config(
                     relay.name,
                     f"127.0.0.1:{relay.door.port}",
-                    discovery,
-                    known,
+                    discovery_address,
+                    known_list,
                     f"{plan.seed}-{n}",
                     n % len(fleet.zone_names),
                 )
             )
-        hollow_agent = await self.agent.listen(LABEL)
+        hollow_agent_address = await self.agent.listen(HOLLOW_LISTENER)
         await asyncio.gather(
             *(relay.start() for relay in self.relays),
-            self.hollows.start(hollow_agent, self.agent.index, addresses, folder / "hollow.log"),
+            self.hollow_processes.start(
+                hollow_agent_address, self.agent.index, addresses, folder / "hollow.log"
+            ),
         )
         self.clients = Clients(fleet, self.ledger, [relay.door for relay in self.relays], time.monotonic)
-        del known
+        del known_list
         settle_memory()
-        self.begun = time.monotonic() + LEAD
-        self.hollows.begin(self.begun)
+        self.traffic_began_at = time.monotonic() + START_DELAY
+        self.hollow_processes.begin(self.traffic_began_at)
         self._spawn(self._sample())
-        self._spawn(self._show())
+        self._spawn(self._show_progress())
         for outage in fleet.outages:
             self._spawn(self._outage(outage))
         for change in fleet.changes:
@@ -160,160 +165,174 @@
             self._spawn(self._restarts(n))
         if plan.discovery_down:
             self._spawn(self._discovery_outage())
-        await asyncio.sleep(max(0.0, self.begun - time.monotonic()))
-        await self.clients.play(self.begun + plan.length)
+        await asyncio.sleep(max(0.0, self.traffic_began_at - time.monotonic()))
+        await self.clients.play(self.traffic_began_at + plan.length)
         await self._settle()
 
     def _make_relay(self, name: str, folder: Path) -> RealRelay:
         return RealRelay(name, folder, self.options.command)
 
     async def _settle(self) -> None:
-        """Until all that was taken on has ended, or its time is up."""
-        last = time.monotonic() + self.plan.deadline + self.plan.settle
-        while time.monotonic() < last and (self.ledger.open or self.clients.tasks):
+        """Wait until all accepted messages have ended, at most for the deadline and the settle time."""
+        settle_by = time.monotonic() + self.plan.deadline + self.plan.settle
+        while time.monotonic() < settle_by and (self.ledger.open or self.clients.tasks):
             await asyncio.sleep(0.05)
 
-    async def _end(self) -> None:
-        """End all that was started; nothing of it is left behind."""
-        for task in list(self._started):
+    async def _stop_all(self) -> None:
+        """End every task, relay, hollow process and server of the run."""
+        for task in list(self._tasks):
             task.cancel()
-        await asyncio.gather(*self._started, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.clients.finish()
         for relay in self.relays:
             relay.sample()
-        statuses = await asyncio.gather(*(relay.stop() for relay in self.relays))
-        for relay, status in zip(self.relays, statuses, strict=True):
-            if status and not relay.crashed:
-                relay.crashed.append(f"{relay.name} ended with {status} on SIGTERM: {relay.last_line()}")
-        if not await self.hollows.stop():
-            self.why_not.append("a process of hollow relays did not end well")
+        exit_statuses = await asyncio.gather(*(relay.stop() for relay in self.relays))
+        for relay, exit_status in zip(self.relays, exit_statuses, strict=True):
+            if exit_status and not relay.crash_reports:
+                relay.crash_reports.append(
+                    f"{relay.name} exited with status {exit_status} on SIGTERM: {relay.last_log_line()}"
+                )
+        if not await self.hollow_processes.stop():
+            self.failure_reasons.append("a process of hollow relays failed or did not exit in time")
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(SHUTDOWN):
+            async with asyncio.timeout(SHUTDOWN_TIMEOUT):
                 await self.agent.close()
                 await self.endpoints.close()
         self.ledger.sweep(math.inf)
 
-    # ---- what befalls the fleet
+    # ---- outages, changes and restarts
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self._started.add(task)
-        task.add_done_callback(self._ended)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
-        self._started.discard(task)
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
+        self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.why_not.append(f"{type(error).__name__}: {error}")
+            self.failure_reasons.append(f"{type(error).__name__}: {error}")
 
-    async def _until(self, at: float) -> None:
-        await asyncio.sleep(max(0.0, self.begun + at - time.monotonic()))
+    async def _sleep_until(self, at: float) -> None:
+        await asyncio.sleep(max(0.0, self.traffic_began_at + at - time.monotonic()))
 
     async def _outage(self, outage: Outage) -> None:
-        await self._until(outage.at)
+        await self._sleep_until(outage.at)
         self.outages += 1
-        self.endpoints.go_down(outage.dest, outage.kind, self.begun + outage.at + outage.length)
-        await self._until(outage.at + outage.length)
+        self.endpoints.go_down(outage.dest, outage.kind, self.traffic_began_at + outage.at + outage.length)
+        await self._sleep_until(outage.at + outage.length)
         await self.endpoints.come_back(outage.dest, time.monotonic())
 
     async def _discovery_outage(self) -> None:
-        await self._until(self.plan.length / 2)
+        await self._sleep_until(self.plan.length / 2)
         self.agent.fall_silent()
         await asyncio.sleep(self.plan.discovery_down)
         self.agent.speak()
 
     async def _change(self, change: Change) -> None:
-        await self._until(change.at)
+        await self._sleep_until(change.at)
         self.changes += 1
-        dest = self.fleet.destinations[change.dest]
-        served = dest.number in self.endpoints.partners
+        destination = self.fleet.destinations[change.dest]
+        is_served = destination.number in self.endpoints.partners
         if change.kind is ChangeKind.WEIGHT:
-            dest.listed = round(dest.limit * change.factor, 2)
+            destination.listed = round(destination.limit * change.factor, 2)
             self.agent.publish(
-                [list_line(endpoint, dest, self._address(endpoint)) for endpoint in dest.endpoints]
+                [
+                    list_line(endpoint, destination, self._address(endpoint))
+                    for endpoint in destination.endpoints
+                ]
             )
             return
-        place = change.place % len(dest.endpoints)
-        old = dest.endpoints[place]
-        new = replace(old, name=f"{old.name[:10]}-{self.changes}", since_ms=time.time_ns() // 1_000_000)
-        address = await self.endpoints.add(new) if served else self._address(old)
-        dest.endpoints[place] = new
+        position = change.place % len(destination.endpoints)
+        old_endpoint = destination.endpoints[position]
+        new_endpoint = replace(
+            old_endpoint,
+            name=f"{old_endpoint.name[:10]}-{self.changes}",
+            since_ms=time.time_ns() // 1_000_000,
+        )
+        address = await self.endpoints.add(new_endpoint) if is_served else self._address(old_endpoint)
+        destination.endpoints[position] = new_endpoint
         self.agent.publish(
-            [list_line(new, dest, address), list_line(old, dest, self._address(old), "Terminating")]
+            [
+                list_line(new_endpoint, destination, address),
+                list_line(old_endpoint, destination, self._address(old_endpoint), "Terminating"),
+            ]
         )
         await asyncio.sleep(DRAIN_TIME)
-        self.agent.publish([list_line(old, dest, self._address(old), "Gone")])
-        self.endpoints.remove(old.name)
+        self.agent.publish([list_line(old_endpoint, destination, self._address(old_endpoint), "Gone")])
+        self.endpoints.remove(old_endpoint.name)
 
     def _address(self, endpoint: Endpoint) -> str:
-        """As the list has it."""
+        """Return the endpoint's address in the endpoint list."""
         line = self.agent.entries.get(endpoint.name)
         return str(json.loads(line)["address"]) if line is not None else "127.0.0.1:9"
 
     async def _restarts(self, number: int) -> None:
-        """Of one real relay, one after the other."""
+        """Run the planned restarts of one real relay, one after the other."""
         for restart in self.fleet.restarts:
             if not restart.hollow and restart.relay == number:
                 await self._restart(restart)
 
     async def _restart(self, restart: Restart) -> None:
-        await self._until(restart.at)
+        await self._sleep_until(restart.at)
         relay = self.relays[restart.relay]
-        if not relay.crashed:
+        if not relay.crash_reports:
             self.ledger.restarting(relay.name)
             self.endpoints.restarted(relay.name)
             await relay.restart(restart.killed)
             self.endpoints.restarted(relay.name)
             self.ledger.ready(relay.name, time.monotonic())
 
-    def _told(self, relay: str, name: str) -> tuple[str, float] | None:
-        told = self.agent.told.get(relay)
-        return None if told is None else told.statuses.get(name)
+    def _last_status_sent(self, relay: str, endpoint: str) -> tuple[str, float] | None:
+        """Return the endpoint's status that discovery last sent to the relay, and the time."""
+        sent = self.agent.told.get(relay)
+        return None if sent is None else sent.statuses.get(endpoint)
 
-    def _on_notice(self, ref: str, ending: str, wait_ms: int) -> None:
-        self.ledger.notice(ref, ending, wait_ms, time.monotonic())
+    def _on_notice(self, message_id: str, ending: str, wait_ms: int) -> None:
+        self.ledger.notice(message_id, ending, wait_ms, time.monotonic())
 
-    # ---- what is shown and measured meanwhile
+    # ---- measurement and progress
 
     async def _sample(self) -> None:
-        here = psutil.Process()
+        own_process = psutil.Process()
         while True:
             for relay in self.relays:
                 relay.sample()
             with contextlib.suppress(psutil.Error):
-                everyone = [here, *here.children(recursive=True)]
-                self.processes = max(self.processes, len(everyone))
-                self.memory_mb = max(self.memory_mb, sum(resident_mb(process) for process in everyone))
-            if self.memory_mb > MOST_MEMORY_MB or self.processes > MOST_PROCESSES:
-                self.why_not.append(
-                    f"stopped: {self.memory_mb:.0f} MB in {self.processes} processes are too much"
+                all_processes = [own_process, *own_process.children(recursive=True)]
+                self.processes = max(self.processes, len(all_processes))
+                self.memory_mb = max(self.memory_mb, sum(resident_mb(process) for process in all_processes))
+            if self.memory_mb > MAX_MEMORY_MB or self.processes > MAX_PROCESSES:
+                self.failure_reasons.append(
+                    f"stopped: {self.memory_mb:.0f} MB in {self.processes} processes exceed the limit"
                 )
-                if self._whole is not None:
-                    self._whole.cancel()
+                if self._run_task is not None:
+                    self._run_task.cancel()
                 return
-            self.ledger.sweep(time.monotonic() - self.plan.settle - SWEEP_BEHIND)
-            await asyncio.sleep(SAMPLE_EVERY)
+            self.ledger.sweep(time.monotonic() - self.plan.settle - SWEEP_DELAY)
+            await asyncio.sleep(SAMPLE_INTERVAL)
 
-    def _line(self) -> str:
-        counts, hollow = self.ledger.counts, self.hollows
-        broken = sum(self.ledger.broken.values())
+    def _progress_line(self) -> str:
+        counts, hollow = self.ledger.counts, self.hollow_processes
+        violations = sum(self.ledger.broken.values())
         return (
             f"delivered {counts.delivered} of {counts.offered}, open {self.ledger.open}, "
             f"refused {counts.refused}, hollow {hollow.total('delivered')} of {hollow.total('offered')}, "
             f"changes {self.changes}, outages {self.outages}, "
             f"restarts {sum(relay.starts - 1 for relay in self.relays)}+{hollow.total('restarts')}, "
-            f"rules broken {broken}"
+            f"rules broken {violations}"
         )
 
-    async def _show(self) -> None:
+    async def _show_progress(self) -> None:
         console = Console(stderr=True)
         if self.options.quiet:
             return
         if not console.is_terminal:
             while True:
-                await asyncio.sleep(PLAIN_EVERY)
+                await asyncio.sleep(PLAIN_PROGRESS_INTERVAL)
                 print(
-                    f"fleetlab: {max(0.0, time.monotonic() - self.begun):.0f} s of {self.plan.length:g}: "
-                    f"{self._line()}",
+                    f"fleetlab: {max(0.0, time.monotonic() - self.traffic_began_at):.0f} s "
+                    f"of {self.plan.length:g}: "
+                    f"{self._progress_line()}",
                     flush=True,
                 )
         text = TextColumn("{task.description}", table_column=Column(ratio=1, no_wrap=False))
@@ -324,39 +343,39 @@
             while True:
                 progress.update(
                     bar,
-                    completed=min(self.plan.length, max(0.0, time.monotonic() - self.begun)),
-                    description=self._line(),
+                    completed=min(self.plan.length, max(0.0, time.monotonic() - self.traffic_began_at)),
+                    description=self._progress_line(),
                 )
                 await asyncio.sleep(0.25)
 
-    # ---- the judgement
+    # ---- result
 
     def _result(self, machine: dict[str, Any], started: str) -> Result:
         ledger, options = self.ledger, self.options
-        crashes = [line for relay in self.relays for line in relay.crashed]
+        crash_reports = [line for relay in self.relays for line in relay.crash_reports]
         if self.agent.unreadable:
             ledger.broken[Rule.UNREADABLE] = self.agent.unreadable
-        self.why_not += [f"crashed: {line}" for line in crashes]
+        self.failure_reasons += [f"crashed: {line}" for line in crash_reports]
         unanswered = sum(relay.door.unanswered for relay in self.relays)
         if unanswered:
-            self.why_not.append(f"{unanswered} times closed with no answer, on a new connection")
-        self.why_not += [
+            self.failure_reasons.append(f"{unanswered} new connections were closed without an answer")
+        self.failure_reasons += [
             f"{count} times {rule.value}"
             for rule, count in sorted(ledger.broken.items(), key=lambda item: item[0].name)
         ]
         if options.judge_time:
-            self.why_not += [
+            self.failure_reasons += [
                 f"{count} times {timed.value}"
                 for timed, count in sorted(ledger.timed.items(), key=lambda item: item[0].name)
             ]
         if not ledger.counts.delivered:
-            self.why_not.append("no message was delivered")
-        head, changed = result.commit(Path(__file__).parent.parent)
+            self.failure_reasons.append("no message was delivered")
+        commit, changed = result.git_state(Path(__file__).parent.parent)
         return Result(
-            passed=not self.why_not,
-            why_not=self.why_not,
+            passed=not self.failure_reasons,
+            why_not=self.failure_reasons,
             seed=self.plan.seed,
-            commit=head,
+            commit=commit,
             changed=changed,
             started=started,
             machine=machine,
@@ -367,23 +386,25 @@
             broken={rule.name.lower(): ledger.broken[rule] for rule in Rule},
             timed={rule.name.lower(): count for rule, count in ledger.timed.items()},
             violations=ledger.listed,
-            relays={relay.name: self._relay(relay) for relay in self.relays},
+            relays={relay.name: self._relay_figures(relay) for relay in self.relays},
         )
 
     def _figures(self) -> dict[str, Figure]:
         counts, plan = self.ledger.counts, self.plan
         verdicts = verdict_totals(self.endpoints.partners)
-        figures = result.counted(asdict(counts), "messages")
+        figures = result.count_figures(asdict(counts), "messages")
         figures["attempts"] = Figure(value=counts.attempts, unit="calls")
         for name in ("handed_in", "taken", "refused", "abandoned", "failed", "dead", "bounced"):
             figures[name] = Figure(value=getattr(counts, name), unit="hand-ins")
-        figures["delivered_share"] = share(counts.delivered, counts.offered)
-        figures["in_time_share"] = share(counts.in_time, counts.offered)
+        figures["delivered_share"] = ratio(counts.delivered, counts.offered)
+        figures["in_time_share"] = ratio(counts.in_time, counts.offered)
         figures["offered_rate"] = Figure(value=round(counts.offered / plan.length, 2), unit="messages/s")
         figures |= result.quantiles("delivery", self.ledger.delivery)
         figures |= result.quantiles("answer", self.ledger.answers)
         figures |= result.quantiles("hand_in_lateness", self.clients.lateness)
-        figures |= result.counted({f"calls_{v.value}": verdicts[v] for v in Verdict}, "calls")
+        figures |= result.count_figures(
+            {f"calls_{verdict.value}": verdicts[verdict] for verdict in Verdict}, "calls"
+        )
         by_relay = sum((partner.calls for partner in self.endpoints.partners.values()), Counter[str]())
         figures["calls_real"] = Figure(value=sum(by_relay[relay.name] for relay in self.relays), unit="calls")
         figures["calls_hollow"] = Figure(
@@ -405,7 +426,7 @@
         return figures | self._hollow_figures()
 
     def _hollow_figures(self) -> dict[str, Figure]:
-        hollow, plan = self.hollows, self.plan
+        hollow, plan = self.hollow_processes, self.plan
         units = {
             "calls": "calls",
             "full": "calls",
@@ -421,60 +442,64 @@
             for name in ("offered", "elsewhere", "delivered", "dead", "refused", *units)
         }
         figures["hollow_held"] = Figure(
-            value=sum(int(latest.get("held", 0)) for latest in hollow.latest), unit="messages"
+            value=sum(int(report.get("held", 0)) for report in hollow.latest_reports), unit="messages"
         )
         delivery, lateness = (HdrHistogram(1, 3_600_000_000, 3) for _ in range(2))
-        told: list[float] = []
-        slowest: dict[int, float] = {}
-        for latest in hollow.latest:
-            if "delivery" in latest:
-                delivery.decode_and_add(latest["delivery"])
-                lateness.decode_and_add(latest["lateness"])
-            for text, times in latest.get("heard", {}).items():
-                version = self.agent.published.get(int(text), math.inf)
-                since = [at - version for at, alive_from in times if alive_from < version < math.inf]
-                told += since
-                if since:
-                    slowest[int(text)] = max(slowest.get(int(text), 0.0), *since)
+        update_delays: list[float] = []
+        max_delays: dict[int, float] = {}
+        for report in hollow.latest_reports:
+            if "delivery" in report:
+                delivery.decode_and_add(report["delivery"])
+                lateness.decode_and_add(report["lateness"])
+            for version, update_times in report.get("heard", {}).items():
+                published_at = self.agent.published.get(int(version), math.inf)
+                version_delays = [
+                    received_at - published_at
+                    for received_at, process_started_at in update_times
+                    if process_started_at < published_at < math.inf
+                ]
+                update_delays += version_delays
+                if version_delays:
+                    max_delays[int(version)] = max(max_delays.get(int(version), 0.0), *version_delays)
         figures |= result.quantiles("hollow_delivery", delivery)
         figures |= result.quantiles("hollow_lateness", lateness)
-        figures |= result.spread("change_told", told, "s")
-        figures |= result.spread("change_told_everywhere", slowest.values(), "s")
+        figures |= result.median_and_max("change_told", update_delays, "s")
+        figures |= result.median_and_max("change_told_everywhere", max_delays.values(), "s")
         if plan.hollow:
             per_relay = hollow.total("control_bytes") / plan.hollow / plan.length
             figures["hollow_control"] = Figure(value=round(per_relay, 2), unit="bytes/s each")
         return figures
 
-    def _relay(self, relay: RealRelay) -> dict[str, Figure]:
-        usage, told = relay.usage, self.agent.told.get(relay.name)
+    def _relay_figures(self, relay: RealRelay) -> dict[str, Figure]:
+        usage, discovery_record = relay.usage, self.agent.told.get(relay.name)
         figures = {
             "starts": Figure(value=relay.starts, unit="starts"),
-            "cpu": Figure(value=round(usage.cpu, 3), unit="s"),
-            "cpu_busiest": Figure(value=round(usage.busiest, 3), unit="cores"),
-            "memory": Figure(value=round(usage.memory_mb, 1), unit="MB"),
+            "cpu": Figure(value=round(usage.cpu_seconds, 3), unit="s"),
+            "cpu_busiest": Figure(value=round(usage.peak_cores, 3), unit="cores"),
+            "memory": Figure(value=round(usage.peak_memory_mb, 1), unit="MB"),
             "memory_limit": Figure(value=self.plan.memory_mb, unit="MB"),
-            "descriptors": Figure(value=usage.descriptors, unit="descriptors"),
-            "disk": Figure(value=round(usage.disk_mb, 3), unit="MB"),
+            "descriptors": Figure(value=usage.peak_descriptors, unit="descriptors"),
+            "disk": Figure(value=round(usage.peak_disk_mb, 3), unit="MB"),
             "connections_from_clients": Figure(value=relay.door.connections, unit="connections"),
         }
-        if told is not None:
+        if discovery_record is not None:
             figures |= {
-                "watches": Figure(value=told.watches, unit="watches"),
-                "whole_lists": Figure(value=told.wholes, unit="lists"),
-                "control": Figure(value=round(told.bytes / self.plan.length, 2), unit="bytes/s"),
-                "notices": Figure(value=told.notices, unit="notices"),
+                "watches": Figure(value=discovery_record.watches, unit="watches"),
+                "whole_lists": Figure(value=discovery_record.wholes, unit="lists"),
+                "control": Figure(value=round(discovery_record.bytes / self.plan.length, 2), unit="bytes/s"),
+                "notices": Figure(value=discovery_record.notices, unit="notices"),
             }
-        return figures | result.spread("ready", relay.ready_after, "s")
+        return figures | result.median_and_max("ready", relay.ready_times, "s")
 
 
-def hollow_processes(plan: Plan) -> int:
-    """How many processes the hollow relays share."""
-    load = plan.hollow * max(plan.hollow_rate, 1.0)  # a watch costs something too
-    return min(MOST_HOLLOW_PROCESSES, max(1, math.ceil(load / HOLLOW_EACH)))
+def hollow_process_count(plan: Plan) -> int:
+    """Return the number of processes that the hollow relays share."""
+    load = plan.hollow * max(plan.hollow_rate, 1.0)  # watching the endpoint list costs CPU time as well
+    return min(MAX_HOLLOW_PROCESSES, max(1, math.ceil(load / HOLLOW_RATE_PER_PROCESS)))
 
 
-def share(part: int, whole: int) -> Figure:
-    return Figure(value=round(part / whole, 4) if whole else None, unit="1")
+def ratio(count: int, total: int) -> Figure:
+    return Figure(value=round(count / total, 4) if total else None, unit="1")
 
 
 def resident_mb(process: psutil.Process) -> float:
@@ -484,7 +509,7 @@
         return 0.0
 
 
-def raise_descriptors() -> None:
-    """As many as the system lets us have: each endpoint and each connection takes one."""
+def raise_descriptor_limit() -> None:
+    """Raise the limit of descriptors to the hard limit: each endpoint and each connection takes one."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -919,7 +919,7 @@
             for point in points
             if point["figures"].get(key) is not None
         ]
-        if len(reached) >= fit.FEWEST:
+        if len(reached) >= fit.MIN_SIZES:
             out[key] = asdict(fit.line([size for size, _ in reached], [value for _, value in reached]))
     return out
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -30,7 +30,7 @@
         self.path = folder / "faults.json"
 
     def step(self, seconds: float) -> None:
-        Faults(clock_step=seconds).put(self.path)
+        Faults(clock_step=seconds).write_to(self.path)
 
     def give_to(self, process: Process) -> None:
         process.module = "fleetlab.faulty"
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -26,7 +26,7 @@
 import fleetlab.slopes
 import garnetrelay.relay
 from fleetlab.capacity import fill as capacity_command
-from fleetlab.cli import OTHERS, run, with_plan_options
+from fleetlab.cli import SUBCOMMANDS, run, with_plan_options
 from fleetlab.cli import main as laboratory_command
 from fleetlab.endpoints import Verdict
 from fleetlab.faulty import Faults
@@ -901,7 +901,7 @@
 def test_measurements_and_faults_keep_their_names(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert OTHERS == {"slopes": "fleetlab.slopes", "soak": "fleetlab.soak"}
+    assert SUBCOMMANDS == {"slopes": "fleetlab.slopes", "soak": "fleetlab.soak"}
     assert [name for name in inspect.signature(soak).parameters] == ["seeds", "first", "jobs", "judge_time"]
     options = inspect.signature(slopes, eval_str=True).parameters
     assert list(options) == ["names", "seed", "file"]
@@ -947,6 +947,6 @@
     for path in (ROOT / "docs" / "capacity").glob("*.json"):
         for measurement in json.loads(path.read_text()).values():
             assert all(Fit(**fit) for fit in measurement["fits"].values())
-    Faults(5.0, 28).put(tmp_path / "faults")
+    Faults(5.0, 28).write_to(tmp_path / "faults")
     assert (tmp_path / "faults").read_text() == '{"clock_step": 5.0, "disk_error": 28}'
     assert fleetlab.faulty.FAULTS_FILE == "FLEETLAB_FAULTS" and fleetlab.slopes.COMMAND == "FLEETLAB_COMMAND"
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -30,7 +30,7 @@
 @given(
     st.floats(-1e3, 1e3),
     st.floats(-1e3, 1e3),
-    st.lists(st.integers(0, 10**6), min_size=fit.FEWEST, max_size=20, unique=True),
+    st.lists(st.integers(0, 10**6), min_size=fit.MIN_SIZES, max_size=20, unique=True),
 )
 def test_points_of_a_line_give_that_line(slope: float, intercept: float, sizes: list[int]) -> None:
     values = [intercept + slope * size for size in sizes]
@@ -47,8 +47,8 @@
     found = fit.line([0, 1, 2, 3], [0.0, 2.0, 0.0, 2.0])  # 0.4 + 0.4 x: distances 0.4, 1.2, 1.2 and 0.4
     assert found.slope == pytest.approx(0.4) and found.intercept == pytest.approx(0.4)
     assert found.residual == pytest.approx(0.6) and found.r2 == pytest.approx(0.2)
-    assert found.beyond(12) == 4 and found.beyond(2) == 1
-    assert fit.line([2, 4, 6, 8], [1.0, 2.0, 3.0, 4.0]).beyond(0.5) == 4
+    assert found.extrapolation_factor(12) == 4 and found.extrapolation_factor(2) == 1
+    assert fit.line([2, 4, 6, 8], [1.0, 2.0, 3.0, 4.0]).extrapolation_factor(0.5) == 4
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
 
 
 def test_every_measurement_has_four_sizes_at_least() -> None:
-    assert all(len(set(one.sizes)) >= fit.FEWEST for one in slopes.MEASUREMENTS.values())
+    assert all(len(set(one.sizes)) >= fit.MIN_SIZES for one in slopes.MEASUREMENTS.values())
 
 
 def test_size_that_was_not_reached_is_no_point_of_the_line() -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: the same seed draws the same scene, and a relay that breaks a rule fails it."""
+"""The soak: the same seed draws the same scenario, and a relay that breaks a rule fails it."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import pytest
 
 from fleetlab import soak
-from fleetlab.faulty import Faults, Watch, failing
-from fleetlab.soak import Scene
+from fleetlab.faulty import Faults, FaultsFile, fail_on_fault
+from fleetlab.soak import Scenario
 
 LOSES = """
 from garnetrelay import journal
@@ -22,23 +22,23 @@
 
 
 def test_seed_draws_the_same_scene_each_time_and_seeds_draw_all_kinds() -> None:
-    scenes = [Scene.draw(seed) for seed in range(50)]
-    assert scenes == [Scene.draw(seed) for seed in range(50)]
-    for name in ("clock_steps", "disk_faults", "crowd"):
-        assert {getattr(scene, name) for scene in scenes} == {True, False}
+    scenarios = [Scenario.draw(seed) for seed in range(50)]
+    assert scenarios == [Scenario.draw(seed) for seed in range(50)]
+    for name in ("clock_steps", "disk_faults", "connection_flood"):
+        assert {getattr(scenario, name) for scenario in scenarios} == {True, False}
 
 
 def test_faults_take_hold_and_end_while_the_relay_runs(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("fleetlab.faulty.LOOK_EVERY", 0.0)
+    monkeypatch.setattr("fleetlab.faulty.RELOAD_INTERVAL", 0.0)
     path = tmp_path / "faults.json"
-    watch = Watch(path)
-    write = failing(os.write, watch)
+    faults_file = FaultsFile(path)
+    write = fail_on_fault(os.write, faults_file)
     file = os.open(tmp_path / "file", os.O_WRONLY | os.O_CREAT)
-    assert write(file, b"x") == 1 and watch.faults == Faults()
-    Faults(3600.0, 28).put(path)
-    assert watch.faults.clock_step == 3600.0
+    assert write(file, b"x") == 1 and faults_file.faults == Faults()
+    Faults(3600.0, 28).write_to(path)
+    assert faults_file.faults.clock_step == 3600.0
     with pytest.raises(OSError, match="No space left"):
         write(file, b"x")
     path.write_text(json.dumps({"unknown": 1}))
