--- a/fleetlab/capacity.py
+++ b/fleetlab/capacity.py
@@ -526,7 +526,7 @@
         if point["size"] == row.size and point["figures"].get(row.figure) is not None:
             return row.factor * point["figures"][row.figure], fit, 1.0
     figure = fit.slope * row.size if row.slope_only else fit.at(row.size)
-    return row.factor * figure, fit, fit.beyond(row.size)
+    return row.factor * figure, fit, fit.extrapolation_factor(row.size)
 
 
 def rows_table(rows: tuple[Row, ...], before: Results, after: Results) -> str:
