--- a/garnetrelay/config.py
+++ b/garnetrelay/config.py
@@ -20,7 +20,7 @@
 
 T = TypeVar("T")
 
-# The endpoint list gets 1/32 of the disk if the file sets neither ``list.keep`` nor ``list.disk_mb``.
+# If the file sets neither ``list.keep`` nor ``list.disk_mb``, the list gets 1/32 of ``limits.disk_mb``.
 LIST_DISK_DIVISOR = 32
 
 
@@ -60,7 +60,7 @@
     inherited_fd: int | None  # listening socket for clients, opened by the platform
     sockets: int  # limit shared by the connections of clients, endpoints and operators
     disk_bytes: int  # for all files in ``state`` except the stored endpoint list
-    memory_bytes: int
+    memory_bytes: int  # memory limit of the process
     class_names: tuple[str, ...]
     zone_names: tuple[str, ...]
     kind_names: tuple[str, ...]
@@ -85,9 +85,9 @@
 def load_known(config: Config, handle_entry: Callable[[dict[str, Any]], None]) -> Any:
     """Read the endpoint list under ``known`` in the configuration file.
 
-    Passes each entry to ``handle_entry`` and returns the rest of the list, with None in place of each entry:
-    decoded all at once, the entries of a large fleet would take hundreds of megabytes. Returns None if the
-    file has no list. Raises ValueError if the file can no longer be read.
+    Passes each entry to ``handle_entry`` and returns the rest of the list, with None in place of each entry.
+    The entries are not kept, as those of a large fleet would take hundreds of megabytes. Returns None if the
+    file has no list. Raises ValueError (not ConfigError) if the file can no longer be read.
     """
     try:
         return _parse_file(config.path, handle_entry).get("known")
@@ -119,7 +119,7 @@
     except ValueError as error:
         raise ConfigError(f"{path}: not JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError(f"{path}: the configuration is a {type(raw).__name__}, not an object")
+        raise ConfigError(f"{path}: the top level of the file is a {type(raw).__name__}, not an object")
     try:
         return convert(raw)
     except KeyError as error:
@@ -138,6 +138,7 @@
 
 
 def _is_list_entry(value: dict[str, Any]) -> bool:
+    """Return whether a JSON object is an entry of the endpoint list. No other object has both keys."""
     return "address" in value and "group" in value
 
 
@@ -152,7 +153,7 @@
     list_options = raw.get("list", {})
     list_bytes = 0
     if list_options.get("keep", True):
-        # A list that is asked for with ``list.keep``, but without a size, gets half of the disk.
+        # With ``list.keep`` but no ``list.disk_mb``, the list gets half of ``limits.disk_mb``.
         default_list_bytes = disk_bytes // (2 if "keep" in list_options else LIST_DISK_DIVISOR)
         list_bytes = (
             int(float(list_options["disk_mb"]) * 1_000_000)
@@ -161,7 +162,8 @@
         )
         if not 0 < list_bytes < disk_bytes:
             raise ValueError(
-                f"list.disk_mb: {list_bytes} bytes, must be above 0 and below {disk_bytes} (limits.disk_mb)"
+                f"list.disk_mb: the list's share is {list_bytes} bytes; it must be above 0 and below"
+                f" {disk_bytes} bytes (limits.disk_mb)"
             )
     return Config(
         name=str(environment.get("RELAY_NAME") or raw["name"]),
--- a/starlingwick/control.py
+++ b/starlingwick/control.py
@@ -90,17 +90,15 @@
 AMPLE_LIMIT_SHARE = 0.5  # of a limit: no reason to hold calls back, nor to throttle them
 EXHAUSTED_LIMIT_SHARE = 0.1  # of a limit, as reported with noise: the next call is as likely throttled as not
 INITIAL_BACKOFF = SECOND // 4  # after throttling or a failure; grows with further ones
-RELAY_SPACING = SECOND // 10  # between the subscriptions of relays that lose all watches at once
-FIRST_JITTER = SECOND  # of the subscription after a lost watch: it had been silent, and changes are due
-MAX_JITTER = 4 * SECOND  # of further ones: a change counts as known 6 s after it appears
-MAX_SUBSCRIBE_INTERVAL = (
-    11 * SECOND // 2
-)  # from the start of a failed one to the next, answered within those 6 s
+RELAY_SPACING = SECOND // 10  # between the subscriptions of relays that all lose their watches at once
+FIRST_JITTER = SECOND  # spread of the first after a lost watch: it had been silent, changes may be missing
+MAX_JITTER = 4 * SECOND  # maximum spread of later ones: a change must be known within 6 s
+# from the start of a failed subscription to that of the next, which is answered within those 6 s
+MAX_SUBSCRIBE_INTERVAL = 11 * SECOND // 2
 PROBE_TIMEOUT = 3 * SECOND // 2
 STORAGE_RETRY_AFTER = SECOND  # until a full or failing disk may have room again
-MAX_LOADED_DESTINATIONS = (
-    1024  # beyond it, unused ones are evicted: some seconds' traffic of a relay that serves many
-)
+# beyond it, unused ones are evicted: some seconds' traffic of a relay that serves many
+MAX_LOADED_DESTINATIONS = 1024
 MAX_EVICTION_CHECKS = 4  # in each planning pass
 
 HEALTH_LOG_WORDS = {  # first word of the log line
@@ -291,7 +289,7 @@
                 self.routes[destination.number].remove(destination)
 
     def mark_used(self, number: int) -> None:
-        """Make a destination the last candidate for eviction, because a message for it has arrived."""
+        """Make a destination the last candidate for eviction: it has a message, or cannot be evicted now."""
         if number in self.loaded_destinations:
             del self.loaded_destinations[number]
             self.loaded_destinations[number] = None
@@ -334,8 +332,8 @@
     # ---- held messages
 
     def is_within_quota(self, tenant: int) -> bool:
-        """Return whether a tenant's message is within its quota. A burst may have two seconds' worth of
-        messages, or two messages if that is more."""
+        """Return whether a tenant's message is within its quota, and charge the quota if it is. A burst may
+        have two seconds' worth of messages plus one, or three messages if that is more."""
         if tenant >= len(self.quota_due_at):
             return True
         interval = round(SECOND * self.settings.relays / max(self.settings.tenant_quotas[tenant], 1e-9))
@@ -462,9 +460,9 @@
         )
 
     def reject_or_fail(self, message: Message, opens_at: int = 0) -> None:
-        """End a message undelivered; all such ends go through here. Rejects it if rule 2 allows that,
-        otherwise fails it. The answer goes out at once and is never delayed to hold the client back; it
-        carries the retry-after time if ``opens_at`` gives one."""
+        """End a held message undelivered: reject it if rule 2 allows that, otherwise fail it. The answer goes
+        out at once and is never delayed to hold the client back; a rejection carries the retry-after time if
+        ``opens_at`` gives one."""
         if message.finished:
             return
         limits = self.settings.limits
@@ -504,7 +502,7 @@
                 del self.waiting_messages[message.destination]
 
     def end_expired(self) -> None:
-        """End the waiting messages at their deadline, early enough for the answer to arrive in time."""
+        """End the waiting messages two ticks before their deadline, so that the answer arrives in time."""
         while self.expiry_queue and self.expiry_queue[0][0] <= self.now:
             message = self.messages.get(heapq.heappop(self.expiry_queue)[1])
             if message is not None and message.call is None:
@@ -514,7 +512,7 @@
 
     def shed_load(self) -> None:
         """Reject the messages with the least value at their expected send time while the relay is nearly
-        full. A full relay rejects new messages without comparing their value."""
+        full. Headroom is kept because the host of a full relay may reject new messages of any value."""
         headroom = max(1, self.settings.limits.max_held // 16)
         if self.held_count <= self.settings.limits.max_held - headroom:
             return
@@ -632,7 +630,7 @@
                     setattr(self.endpoints[name][1], fact, value)
 
     def on_health_restored(self, event: HealthRestored) -> None:
-        """Restore the health recorded by a previous process of this relay. It binds this process too."""
+        """Restore the health that a previous process recorded. This process must respect it as well."""
         for record in event.records:
             if record.endpoint in self.endpoints:
                 destination = self.endpoints[record.endpoint][0]
@@ -726,7 +724,7 @@
             self.update_health(call, False, status.name.lower())
 
     def record_endpoint_failure(self, endpoint: Endpoint) -> None:
-        """Record that one connection was reset or timed out while the destination is healthy."""
+        """Record a reset, timed-out or overdue call to one endpoint, while other calls succeed."""
         endpoint.failure_rate += OUTCOME_WEIGHT * (1.0 - endpoint.failure_rate)
         endpoint.retry_at = self.now + INITIAL_BACKOFF
 
@@ -787,9 +785,10 @@
     def update_backoff(self, destination: Destination, throttled: bool, remaining: float | None) -> None:
         """Update this relay's own backoff after a call; it serves relays that see too few throttled calls for
         a rate decrease. It grows with throttling (from the end of a retry-after wait, which all relays were
-        sent) and while the limit is nearly exhausted. It ends when half of the limit remains, shrinks by
-        DECREASE_FACTOR in between, and halves over time. THROTTLE_THRESHOLD throttled calls raise it to three
-        call intervals where calls are rare, because throttled calls may use up the limit too."""
+        sent) and halves over time. Where calls are frequent, a success ends it. Where they are rare, it also
+        grows while the limit is nearly exhausted, ends when more than half of the limit remains, and is
+        otherwise multiplied by DECREASE_FACTOR, to 0 below INITIAL_BACKOFF. There, THROTTLE_THRESHOLD
+        throttled calls raise it to three call intervals, because throttled calls may use up the limit too."""
         calls_are_rare = self.call_interval(destination) > RECOVERY_INTERVAL
         max_backoff = 3 * self.call_interval(destination) if calls_are_rare else RECOVERY_INTERVAL
         destination.backoff *= 0.5 ** ((self.now - destination.backoff_changed_at) / max_backoff)
@@ -810,7 +809,8 @@
         destination.backoff_until = self.now + round(destination.backoff * self.random.uniform(0.5, 1.5))
 
     def mark_unhealthy(self, destination: Destination, since: int) -> None:
-        """Record a bad outcome, and with the first the rate of successful calls until then."""
+        """Mark a destination as unhealthy since ``since`` and record its rate of successful calls up to now,
+        unless it is unhealthy already. The caller records the outcome itself."""
         self.dirty[destination] = None
         if destination.unhealthy_since is None:
             destination.unhealthy_since = since
@@ -865,7 +865,7 @@
     def log_health(
         self, destination: Destination, endpoint: Endpoint, previous_state: HealthState, reason: str
     ) -> None:
-        """Log a change of the health state with the destination's share, budget and current send rate."""
+        """Log a change of the health state, with this relay's share of the rate, its budget and send rate."""
         state = health_state(destination, self.slow_start, self.now)
         if state is previous_state:
             return
@@ -903,7 +903,7 @@
     # ---- sending
 
     def event_rate(self, times: list[int], window: int) -> float:
-        """Return the events per second over the last ``window``."""
+        """Return the events per second over the last ``window``, and drop the times before it."""
         del times[: bisect_right(times, self.now - window)]
         return len(times) * SECOND / max(SECOND, min(window, self.now - (self.started or 0)))
 
@@ -1203,8 +1203,8 @@
             )
 
     def close_idle_connections(self) -> None:
-        """Close connections not used again soon: idle ones of many relays fill an endpoint's table and are
-        dropped unnoticed. All relays together keep one no longer than a single relay may."""
+        """Close the idle connections to an endpoint whose last two sends were further apart than this relay's
+        part of the idle timeout: those of many relays fill an endpoint's table and are dropped unnoticed."""
         for endpoint in self.freed_endpoints:
             if (
                 not endpoint.calls_in_flight
@@ -1259,7 +1259,8 @@
         )
 
     def backlog_lines(self, max_destinations: int) -> list[str]:
-        """Return a log line for each destination with the most waiting messages, showing what delays it."""
+        """Return log lines, one for each route, for the ``max_destinations`` destinations with the most
+        waiting messages, showing what delays them."""
         lines = []
         for number in sorted(self.waiting_messages, key=lambda number: -len(self.waiting_messages[number]))[
             :max_destinations
--- a/starlingwick/interface.py
+++ b/starlingwick/interface.py
@@ -1,6 +1,7 @@
 """The input and output types of :class:`~starlingwick.control.Pacer`: settings, events and actions.
 
-Times are integer nanoseconds. This module contains no decisions.
+Times are integer nanoseconds, rates are calls a second, shares lie in 0 to 1. Zones, kinds and classes are
+given by their indices in the settings. This module contains no decisions.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 
 class DiscoveryMode(Enum):
-    """How changes of the endpoint list reach an instance."""
+    """How changes of the endpoint list reach a relay."""
 
     AUTOMATIC = "automatic"
     SUBSCRIBE = "subscribe"
@@ -45,12 +46,12 @@
 
     OK = 10
     ERROR = 20
-    FULL = 30
+    FULL = 30  # throttled: the endpoint asked for fewer calls
     TIMEOUT = 40
     CONNECT_FAILED = 50
     RESET = 60
-    CANCELLED = 70
-    MOOT = 80
+    CANCELLED = 70  # given up after a Cancel action
+    MOOT = 80  # the call was not made: no free slot, or it was no longer needed
     ABANDONED = 90  # stopped before its first byte was written: never executed
 
 
@@ -161,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings that an instance receives when it starts."""
+    """All settings that a relay receives when it starts."""
 
     relays: int
     max_calls: int
@@ -175,8 +176,8 @@
     tenant_quotas: tuple[float, ...]
     over_quota_value: float
     zone_fees: tuple[float, ...]
-    throttled_price: float
-    prices: dict[str, float]
+    throttled_price: float  # of a throttled call; the Pacer does not use it
+    prices: dict[str, float]  # by name; the Pacer does not use them
     rules: Rules
     limits: Limits
 
@@ -212,7 +213,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """A snapshot or a delta of the endpoint list, or the loss of the subscription."""
+    """A snapshot or a delta of the endpoint list, a list known before the first subscription (CACHED: stored
+    by an earlier process or from the configuration), or a lost or failed subscription (FAILED)."""
 
     scope: UpdateScope
     entries: tuple[EndpointEntry, ...]
@@ -231,7 +233,9 @@
     """Health of a destination as its calls have shown it."""
 
     HEALTHY = "well"
-    SUSPECT = "suspect"  # a call failed, and no call has succeeded since
+    # A call failed, or was throttled without a limit that explains it; none has succeeded since then or since
+    # the end of slow start.
+    SUSPECT = "suspect"
     OUTAGE = "out"  # most calls fail: one trial call at a time
     RECOVERING = "recovering"  # slow start
 
@@ -332,7 +336,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The process will exit at ``at`` and cut off calls in flight. The next may send from ``resumes_at``."""
+    """The process will exit at ``at`` and cut off calls in flight. The next process may send from
+    ``resumes_at``."""
 
     at: int
     resumes_at: int
@@ -340,15 +345,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """The message is no longer needed."""
+    """The message needs no further attempt and no answer from this process: the client gave it up, it could
+    not be accepted, or another process has taken it over."""
 
     message_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The outcome of one attempt. ``retry_after`` is 0 if the endpoint asked for no wait; ``stale`` marks a
-    reset of a connection that was closed while it was idle."""
+    """The outcome of one attempt. ``retry_after`` is 0 if the endpoint asked for no wait; ``stale`` marks
+    an outcome that is no sign of the endpoint's health: the endpoint had closed the idle connection, or the
+    local machine failed."""
 
     message_id: str
     attempt: int
--- a/starlingwick/slow_start.py
+++ b/starlingwick/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: limits the calls of one relay to a destination that recovers from an outage.
 
-The budget of a destination begins with a share of its capacity and grows linearly to all of it. A relay does
-not see what other relays send: each takes its part of the budget, by the listed rate or by the rate of its
-own successful calls before the outage.
+The budget of a destination begins with ``slow_start_initial_share`` of its full rate and grows linearly to
+it. The full rate is ``overload_multiple`` times the rate that the destination is assumed to take. A relay
+does not see what other relays send: each takes its part of the budget, by the listed rate or by the rate of
+its own successful calls before the outage.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 HEADROOM = 1.4  # a destination is assumed to take at most this many times the rate of its successful calls
 TRIAL_SHARE = 0.9  # of the initial budget, for trials: the relay has not seen the destination come back
-MISSED_CALLS = 2.0  # during slow start: calls that a relay with few of them may have missed by chance
+MISSED_CALLS = 2.0  # calls in ``slow_start_duration`` above the measured rate: chance may hide that many
 NO_TRAFFIC_SHARE = 1 / 16  # of an equal share, for a relay that has had no traffic for the destination
 MAX_FAILING_SHARE = 1 / 3  # of the latest outcomes: with more failures the destination has not come back
 
@@ -29,7 +30,7 @@
         self.rules = settings.rules
 
     def is_active(self, destination: Destination, now: int) -> bool:
-        """Return whether the destination may still be in slow start after an outage."""
+        """Return whether the destination is in slow start at ``now``, or in a retry-after wait before it."""
         return destination.slow_start_began_at is not None and now < destination.slow_start_ends_at
 
     def is_limiting(self, destination: Destination, waiting: int, now: int) -> bool:
@@ -52,9 +53,9 @@
 
     def may_begin(self, destination: Destination, now: int) -> bool:
         """Return whether this successful call may follow an outage: the destination is unhealthy, and no
-        other call has succeeded for ``overload_window``. A failure since the last success is enough.
-        Throttling, which a limit causes too, counts only if this relay has so little traffic that it sees no
-        more of an outage than one bad outcome."""
+        other call has succeeded for ``overload_window``. In addition, a call must have failed since the
+        previous success. Throttling instead of a failure, which a limit causes too, counts only if this relay
+        has so little traffic that one bad outcome is all it sees of an outage."""
         previous_success = destination.success_times[-2] if len(destination.success_times) > 1 else 0
         return (
             destination.unhealthy_since is not None
@@ -84,15 +85,15 @@
         destination.listed_rate, destination.rate_is_reported = rate, False
 
     def begin(self, destination: Destination, now: int) -> None:
-        """Begin slow start at the first successful call after an outage. The time of return is unknown; on
-        average, half of the time since the last failure has passed since then."""
+        """Begin slow start at the first successful call after an outage. The time of return is unknown; it is
+        estimated as halfway between the last bad outcome and now."""
         destination.slow_start_began_at = now - (now - destination.last_bad_outcome_at) // 2
         destination.slow_start_ends_at = now + self.rules.slow_start_duration
         destination.unconfirmed = False
 
     def on_failure(self, destination: Destination, now: int) -> bool:
-        """Handle a failure in slow start and return whether slow start begins again: a destination that fails
-        most calls answers some of them before it is back."""
+        """Handle a failure in slow start. If more than MAX_FAILING_SHARE of the latest calls failed, restart
+        slow start and return True: a destination that is not back may still answer some calls."""
         if not self.is_failing(destination, now):
             return False
         destination.slow_start_began_at = now
@@ -112,8 +113,9 @@
         """Return this relay's part of the rate that the recovered destination takes, calls a second: the rate
         of successful calls before the outage, or an equal share of the listed rate if that is more. Listed
         rates may be half too high, and with uneven traffic the sum of the larger of the two over all relays
-        exceeds what the destination takes, so the successful calls bound it. Over a fleet, the sum is then no
-        more than the destination has answered."""
+        exceeds what the destination takes. The result is therefore at most HEADROOM times the sum of the rate
+        of successful calls and a small allowance. Over a fleet, the results add up to at most HEADROOM times
+        what the destination answered plus those allowances."""
         equal_share = destination.listed_rate / self.relays
         allowance = max(
             MISSED_CALLS * SECOND / max(self.rules.slow_start_duration, SECOND),
@@ -126,8 +128,8 @@
 
     def record_baseline(self, destination: Destination, success_rate: float, observed_time: int) -> None:
         """Record the rate of successful calls, calls a second, at the first bad outcome. A relay that has run
-        for less than the duration of slow start (``observed_time``, nanoseconds) assumes an equal share for
-        the rest of that time."""
+        for less than the duration of slow start (``observed_time``, nanoseconds) assumes, for the part not
+        observed, an equal share of the listed rate divided by HEADROOM."""
         observed_share = min(1.0, observed_time / max(1, self.rules.slow_start_duration))
         destination.rate_before_outage = (
             observed_share * success_rate
@@ -161,7 +163,7 @@
         )
 
     def _is_over(self, destination: Destination, now: int) -> bool:
-        """Return whether the latest slow start limits nothing any more: it ended long ago, or the destination
-        was unhealthy again after it."""
+        """Return whether the latest slow start limits nothing any more: it ended at least
+        ``slow_start_duration`` ago, or it has ended and the destination was unhealthy again after it."""
         failed_since = destination.last_bad_outcome_at > destination.slow_start_ends_at
         return now >= destination.slow_start_ends_at + (0 if failed_since else self.rules.slow_start_duration)
--- a/starlingwick/state.py
+++ b/starlingwick/state.py
@@ -64,7 +64,7 @@
     calls_in_flight: int = 0
     probing: bool = False
     last_sent_at: int = 0
-    last_send_interval: int = NEVER  # between the last two sends
+    last_send_interval: int = NEVER  # nanoseconds between the last two sends, calls or probes
     last_success_sent_at: int = -1  # send time of the newest call that succeeded
     failure_rate: float = 0.0  # share of bad outcomes, weighted towards the newest
     retry_at: int = 0  # until then other endpoints are preferred if this one is suspect
@@ -82,9 +82,9 @@
     rate_limit: float | None = None  # calls a second of this relay
     rate_limit_changed_at: int = 0  # when the rate limit last changed
     rate_decreased_at: int = 0  # when it was last decreased
-    rate_before_decrease: float = 0.0  # the rate limit before that, calls a second
-    next_call_at: int = 0  # spacing of calls under the rate limit
-    mean_response_time: float = 0.0
+    rate_before_decrease: float = 0.0  # calls a second before that: the limit, or the send rate if none
+    next_call_at: int = 0  # earliest time of the next call under the rate limit
+    mean_response_time: float = 0.0  # nanoseconds; 0: unknown
     retry_after_until: int = 0  # the end of the wait that an endpoint asked for
     backoff: float = 0.0  # this relay's own pause after a call, nanoseconds
     backoff_until: int = 0
@@ -92,14 +92,17 @@
     throttled_since: int | None = None  # when the current run of throttled calls began
     failure_rate: float = 0.0  # share of bad outcomes at all its endpoints, weighted towards the newest
     unhealthy_since: int | None = None  # the first bad outcome since it was healthy
-    last_bad_outcome_at: int = 0  # the latest bad outcome
+    # time of the latest bad outcome, or the future end of a retry-after wait that no limit explains
+    last_bad_outcome_at: int = 0
     last_failure_at: int = 0  # the latest failure, or throttled call that no limit explains
-    in_outage: bool = False  # half-open: one trial call at a time
-    slow_start_began_at: int | None = None  # the estimated time of its return
+    in_outage: bool = False  # most calls fail (half-open): one trial call at a time
+    # estimated time of its return (the end of a long retry-after wait), or time of a restart of slow start;
+    # None: slow start has not begun, or the destination is in an outage
+    slow_start_began_at: int | None = None
     unconfirmed: bool = False  # a failure restarted slow start, and no call has succeeded since
     slow_start_ends_at: int = 0  # the end of slow start if it returned as late as possible
     rate_before_outage: float = 0.0  # successful calls a second of this relay before the outage
-    next_trial_at: int = 0  # the next trial call in an outage; spacing of calls in slow start
+    next_trial_at: int = 0  # earliest time of the next trial call, or of the next call in slow start
     throttle_times: list[int] = field(default_factory=list)  # oldest first, as in all these lists
     send_times: list[int] = field(default_factory=list)
     arrival_times: list[int] = field(default_factory=list)
@@ -111,7 +114,10 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A call in flight. It takes one slot and has one outcome, and may carry several messages."""
+    """A call in flight. It takes one slot and has one outcome, and may carry several messages.
+
+    Also describes a probe or a predecessor's call while its outcome is recorded, then without messages.
+    """
 
     destination: Destination
     endpoint: Endpoint
@@ -119,7 +125,7 @@
     messages: list[Message]
     unsettled_messages: int = 0  # messages without an outcome
     outcome_recorded: bool = False  # the health of the destination reflects its outcome
-    counted_overdue: bool = False  # counted against the endpoint as overdue
+    counted_overdue: bool = False  # already counted as a bad outcome because it was overdue
 
 
 @dataclass(slots=True, eq=False)
@@ -145,4 +151,5 @@
 
     @property
     def target_at(self) -> int:
+        """When the target latency ends; the value decays from then on."""
         return self.deadline - self.message_class.deadline + self.message_class.target_latency
--- a/starlingwick/wirehost.py
+++ b/starlingwick/wirehost.py
@@ -1,8 +1,9 @@
 """Adapter between the simulator's line protocol and :class:`~starlingwick.control.Pacer`.
 
 Reads batches of event lines from standard input, passes each event to the Pacer of the relay instance that it
-is for, and writes the resulting actions as reply lines to standard output. It makes no decisions of its own.
-A malformed line ends the process with exit status 1 and a one-line message on standard error.
+is for, and writes the resulting actions as reply lines to standard output. An instance is one simulated
+relay. The adapter makes no decisions of its own. A malformed line ends the process with exit status 1 and a
+one-line message on standard error.
 """
 
 from __future__ import annotations
@@ -79,7 +80,8 @@
 def _parse_load_report(fields: dict[str, str]) -> io.LoadReport | None:
     """Parse the field ``metrics``, a comma-separated list of ``name:value``.
 
-    Returns None if it holds neither ``x0`` (remaining share) nor ``x1`` (limit in calls a second).
+    Returns None if the field is missing, empty or ``-``, or holds neither ``x0`` (remaining share) nor ``x1``
+    (limit in calls a second).
     """
     text = fields.get("metrics", "-")
     if text in ("", "-"):
@@ -88,6 +90,7 @@
     for part in text.split(","):
         name, colon, value = part.partition(":")
         try:
+            # float("") raises ValueError: a part without a colon is malformed.
             values[name] = float(value) if colon else float("")
         except ValueError:
             raise WireError(f"field 'metrics': '{part}' is not name:number") from None
@@ -161,7 +164,8 @@
 def format_action(action: io.Action) -> str:
     """Return the reply line for an action, without a line end.
 
-    Raises AssertionError for actions that the protocol cannot express.
+    Raises AssertionError for EvictDestination and PersistHealth, which the protocol cannot express: the
+    caller leaves out PersistHealth, and no destination is loaded on demand here, so none is evicted.
     """
     match action:
         case io.Send(message_id, endpoint, deadline):
@@ -263,8 +267,8 @@
             elif name in EVENT_PARSERS:
                 self._add_event(pending, instance, EVENT_PARSERS[name](_parse_fields(field_text)))
             elif name in ("started", "mail"):
-                # Checked for syntax, then ignored: the adapter uses neither streams nor messages between
-                # relays.
+                # Checked for syntax, then ignored: 'started' reports streams and 'mail' carries messages
+                # between relays; the Pacer uses neither.
                 _parse_fields(field_text)
             else:
                 raise WireError(f"unknown event '{name}'")
@@ -305,9 +309,9 @@
                     for action in self.pacers[instance].handle(now, events)
                     if not isinstance(action, io.PersistHealth)  # no storage outlives a simulated instance
                 ]
-            # Report any error as 'fatal', so that the simulation stops with its text instead of going on
-            # without the instance.
             except Exception as error:
+                # Report any error as 'fatal', so that the simulation stops with its text instead of going on
+                # without the instance.
                 message = " ".join(f"{type(error).__name__}: {error}".split())
                 reply_lines += [f"at relay={instance}", f"fatal message={message}"]
                 continue
