--- a/garnetrelay/clients.py
+++ b/garnetrelay/clients.py
@@ -30,7 +30,8 @@
 MAX_LINGERING_CONNECTIONS = 16  # connections above the limit that may linger: each holds a descriptor
 MAX_CONSECUTIVE_INVALID_REQUESTS = 32  # no working client sends so many
 BACKLOG = 512  # connections waiting to be accepted
-MAX_ACCEPTS_PER_ITERATION = 2  # a rejected connection holds a descriptor for three event loop iterations
+# bounds the descriptors of connections that are rejected: each is held for three event loop iterations
+MAX_ACCEPTS_PER_ITERATION = 2
 ACCEPT_RETRY_DELAY = 0.1  # seconds without accepting when no descriptor is left
 FINAL_ACCEPT_RETRY_DELAY = 0.02  # seconds; for connections still queued at shutdown
 # errors of accept() that are worth a later retry
@@ -84,7 +85,8 @@
         self.data = data
         try:
             self._connection.send_ready()
-        except Exception:  # any error: the planning pass that answers has other answers and calls to send
+        except Exception:
+            # Any error: it must not stop the planning pass, which has other replies and calls to send.
             log.exception("failed to write an answer")
             self._connection.abort()
 
@@ -129,7 +131,7 @@
 
 def _check_header_value(text: str, field_name: str) -> str:
     # The text is copied into an HTTP header: a space or control character could inject another header.
-    if not text or any(not "!" <= c <= "~" for c in text):
+    if not text or any(not "!" <= character <= "~" for character in text):
         raise InvalidRequest(f"unreadable {field_name}")
     return text
 
@@ -197,7 +199,9 @@
         elif self.close_between_requests():
             self.server.closed_unused_count += 1
         else:
-            self._start_request_timer(RECHECK_DELAY)  # input has just arrived, but the timeout stays expired
+            # Not closable yet, for example because input has just arrived: check again soon, as the timeout
+            # stays expired.
+            self._start_request_timer(RECHECK_DELAY)
 
     def _stop_request_timer(self) -> None:
         if self.timer is not None:
@@ -295,9 +299,10 @@
             self.close_between_requests()
 
     def fail(self, text: str, busy: bool = False) -> None:
-        """Answer with an error and close, for input that cannot be parsed any further.
+        """Answer with an error, or with BUSY if ``busy``, and close the connection.
 
-        Answers to earlier requests are written first: nothing can be written after the half-close.
+        ``text`` is logged, and sent unless ``busy``. Input received later is discarded. Answers to
+        earlier requests are written first: nothing can be written after the half-close.
         """
         if not self.closing:
             log.info("client connection closed: %s", text)
@@ -318,8 +323,8 @@
     def _lingering_close(self) -> None:
         """Half-close, then close after a delay.
 
-        A close with unread input sends a reset, which discards the error just written. The transport itself
-        flushes pending writes first.
+        A close with unread input sends a reset, which discards the error just written. The transport
+        flushes pending writes before the half-close.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -371,8 +376,10 @@
         self.connections: dict[Connection, None] = {}  # ordered by latest request, oldest first
         self.closed_unused_count = 0  # connections closed without a request so far
         self.stopped = False  # graceful shutdown: no new connections any more
-        self.draining = False  # close each connection as soon as it is between requests
-        self.rejecting_clients = False  # PING gets an error, so that clients go to another relay
+        # shutdown or a drain by operators: close each connection as soon as it is between requests
+        self.draining = False
+        # drain by operators only: PING gets an error, so that clients go to another relay
+        self.rejecting_clients = False
         self.address: tuple[str, int] | None = None  # set once the server listens
         self._listener: socket.socket | None = None
         # The platform owns an inherited listener: another process accepts what is left in its queue.
@@ -533,7 +540,7 @@
                 connection.close_between_requests()
 
     async def end(self) -> None:
-        """Close all connections, and wait until the answers written have reached the clients."""
+        """Close all connections, and give the answers written ``CLOSE_DELAY`` to reach the clients."""
         self._stop_listening()
         for connection in list(self.connections):
             if connection.unparsed:  # the client sends the remainder and waits for an answer
@@ -546,7 +553,8 @@
     def _close_connections(self) -> None:
         """Close connections between requests.
 
-        One without a first request stays open: its request is in transit or its timer expires soon.
+        One that still waits for its first or for a complete request stays open: the request is in transit, or
+        its timer expires soon.
         """
         self.draining = True
         for connection in list(self.connections):
--- a/garnetrelay/connection_pool.py
+++ b/garnetrelay/connection_pool.py
@@ -1,8 +1,9 @@
 """HTTP/1.1 client for calls and probes to endpoints, with keep-alive connections.
 
 A connection carries one exchange at a time and is reused only while it is known to be usable. An exchange
-whose connection breaks after the request was written in full ends as a reset; one that breaks earlier never
-ran. This module never retries a request.
+whose connection breaks after the request was written in full ends as a reset, unless a status line with 200
+has arrived; one that breaks earlier never ran. This module never sends a request twice, but may connect
+twice.
 """
 
 from __future__ import annotations
@@ -28,11 +29,13 @@
 log = logging.getLogger(__name__)
 
 SECOND = 1_000_000_000
-IDLE_TIMEOUT_SHARE = 0.8  # of the endpoint's idle timeout: a call written just as it closes ends as a reset
+# share of the endpoint's idle timeout after which this side closes, so that no call meets the endpoint's own
+# close and ends as a reset
+IDLE_TIMEOUT_SHARE = 0.8
 MAX_RESPONSE_HEAD_BYTES = 16 * 1024
 MAX_STATUS_LINE_BYTES = 200
 MAX_RESPONSE_BODY_BYTES = 64 * 1024  # a longer response is not read only to reuse its connection
-# seconds, one round trip: a call on a connection that its endpoint had closed breaks within this time
+# seconds, enough for a round trip: a call on a connection that its endpoint had closed breaks within it
 STALE_CONNECTION_WINDOW = 0.1
 STATUS_200_LINE = re.compile(rb"HTTP/\d\.\d 200(?: [^\r\n]*)?\r?\n")  # decides the outcome, whatever follows
 # calls a second; a lower reported limit is ignored, as the interval between calls must stay finite
@@ -65,7 +68,8 @@
     no_slot: bool = False
     finished: bool = False
     report: io.LoadReport | None = None
-    stale: bool = False  # a stale idle connection or a local error: no sign of the endpoint's health
+    # no sign of the endpoint's health: a stale idle connection or an error of the local machine
+    stale: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,7 +116,11 @@
         self._on_finished(outcome)
 
     def give_up(self, status: io.Status) -> None:
-        """Stop waiting and close the connection. A request that was not written in full never ran."""
+        """Stop waiting and close the connection.
+
+        The outcome is the one known already, else ``status``, or CONNECT_FAILED if the request was not
+        written in full: such a request never ran.
+        """
         if self.ended:
             return
         connection = self.connection
@@ -142,7 +150,11 @@
         except ValueError:
             return None
     remaining, limit = values.get("x0"), values.get("x1")
-    if remaining is None and limit is None or not all(math.isfinite(v) and v >= 0 for v in values.values()):
+    if (
+        remaining is None
+        and limit is None
+        or not all(math.isfinite(number) and number >= 0 for number in values.values())
+    ):
         return None
     if limit is not None and 0 < limit < MIN_REPORTED_RATE_LIMIT:
         return None
@@ -365,7 +377,7 @@
                 self.transport.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
     def abort(self) -> None:
-        """Close at once: the endpoint takes this for a cancelled call."""
+        """Close at once; if a call is in flight, the endpoint sees it as cancelled."""
         self.pool.discard(self)
         self.exchange = None
         if self.transport is not None:
@@ -376,6 +388,7 @@
     """The connections to all endpoints and the exchanges on them."""
 
     def __init__(self, settings: io.Settings, max_connections: int) -> None:
+        # 1 s if the settings give none
         self.connect_timeout_seconds = settings.limits.connect_timeout / SECOND or 1.0
         # All relays share an endpoint's connection table: with idle times divided by their number they keep
         # together as many idle connections as one relay alone may.
@@ -425,7 +438,7 @@
             loop.call_soon(exchange.finish, Outcome(io.Status.ABANDONED))
             return
         if len(self.open) + len(self.opening) >= self.max_connections:
-            self._close_oldest_idle()
+            self._close_one_idle_connection()
         exchange.opening = task = loop.create_task(self._connect(exchange, address))
         self.opening.add(task)
         task.add_done_callback(self._on_connect_task_done)
@@ -455,7 +468,8 @@
         self._on_connected()
         if exchange.ended:
             self.return_to_pool(connection)
-        elif self.addresses.get(exchange.endpoint) != address:  # moved: another one may listen here
+        elif self.addresses.get(exchange.endpoint) != address:
+            # The endpoint moved meanwhile: another endpoint may listen at this address.
             connection.abort()
             exchange.finish(Outcome(io.Status.ABANDONED))
         else:
@@ -464,7 +478,9 @@
     def _on_local_connect_error(self, error: OSError) -> None:
         """Log the first of a series of local errors, not one for each call."""
         if not self.local_connect_error:
-            log.warning("cannot open connections, local error: %s", error.strerror or error)
+            log.warning(
+                "cannot open connections to endpoints, error of this machine: %s", error.strerror or error
+            )
         self.local_connect_error = True
 
     def _on_connected(self) -> None:
@@ -477,8 +493,10 @@
             lambda: Connection(self, endpoint, address), address.host, address.port
         )
         if not connection.is_usable(fallback=True):
-            connection.abort()  # broken before this task resumed: a call written now would get no outcome
-            raise ConnectionResetError("connection reset right after it was accepted")
+            # It broke before this task resumed. Its ``connection_lost`` may be over: an exchange begun now
+            # would get no outcome.
+            connection.abort()
+            raise ConnectionResetError("connection reset right after it was established")
         return connection
 
     def _on_connect_task_done(self, task: asyncio.Task[None]) -> None:
@@ -537,7 +555,8 @@
             connection.shut_down_socket()
             connection.abort()
 
-    def _close_oldest_idle(self) -> None:
+    def _close_one_idle_connection(self) -> None:
+        """Close the oldest idle connection to one of the endpoints, to make room."""
         for idle in self.idle.values():
             if idle:
                 idle[0].abort()
--- a/garnetrelay/endpoint_cache.py
+++ b/garnetrelay/endpoint_cache.py
@@ -1,9 +1,9 @@
 """A copy of the endpoint list on disk, so that a restarted relay asks discovery only for later changes.
 
 The file lies beside the journal. It holds a header, a snapshot of the list in chunks, the version of the
-snapshot, and then one record per delta. Every record carries its length and a checksum. The file is trusted
-up to the discovery version that it states. A file that is damaged, in another format, or written for other
-zones or kinds is not used; the relay asks discovery for a snapshot instead.
+snapshot, and then one record per delta. Every record carries its length and a checksum. The file is valid
+for the discovery version of its last complete record. A file that is damaged, in another format, or written
+for other zones or kinds is not used; the relay asks discovery for a snapshot instead.
 
 The relay never waits for the file: a snapshot is written in chunks, between which other work runs, to a new
 file that then replaces the old one. If two processes share the folder, only the holder of the lock writes.
@@ -30,10 +30,11 @@
 RECORD_HEADER = struct.Struct("<cII")  # record kind, length of the payload, CRC-32 of kind and payload
 # destination, length of its packed endpoints (0: it has no endpoints any more)
 DESTINATION_HEADER = struct.Struct("<qI")
-VERSION = struct.Struct("<q")
-# record kinds; SNAPSHOT_END holds the version of the snapshot and its number of destinations
+INT64_FIELD = struct.Struct("<q")
+# record kinds; the letters are fixed by the file format
+# SNAPSHOT_END holds the version of the snapshot and its number of destinations
 HEADER, CHUNK, SNAPSHOT_END, DELTA = b"H", b"P", b"W", b"C"
-CHUNK_DESTINATIONS = 512  # destinations in a chunk: some milliseconds of work
+CHUNK_DESTINATIONS = 512  # destinations in a chunk: a few milliseconds of work
 CHUNK_PAUSE = 0.005  # seconds between two chunks
 REWRITE_SHARE = 0.25  # of the snapshot's size: more bytes of deltas than this cause a rewrite
 MIN_REWRITE_BYTES = 64 * 1024  # bytes of deltas; fewer are not worth a rewrite
@@ -59,7 +60,7 @@
         self.rewrite_task: asyncio.Task[None] | None = None
         self.changed_during_rewrite: set[int] = set()  # destinations
         self.failing = False  # the latest write failed
-        self.catalog: Catalog | None = None  # the list to be stored
+        self.catalog: Catalog | None = None  # the list of the latest ``store``, for a retry
         self.retry_timer: asyncio.TimerHandle | None = None  # after a failure
         self.next_rewrite_at = 0.0  # when a snapshot may be written again
 
@@ -114,7 +115,7 @@
                 self.lock = os.open(self.lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            return False  # held by the predecessor; a snapshot is written once it has exited
+            return False  # held by the predecessor; a snapshot is written at the first update after its exit
         except OSError as error:
             self._report_failure(str(error.strerror))
             self._schedule_retry(RETRY_DELAY_AFTER_ERROR)
@@ -132,13 +133,13 @@
             if record_kind == HEADER and payload != self.header:
                 raise ValueError("it is of another form, or for other zones or kinds")
             if record_kind == SNAPSHOT_END:
-                version, count = VERSION.unpack_from(payload)[0], len(packed)
-                if VERSION.unpack_from(payload, VERSION.size)[0] != count:
+                version, count = INT64_FIELD.unpack_from(payload)[0], len(packed)
+                if INT64_FIELD.unpack_from(payload, INT64_FIELD.size)[0] != count:
                     raise ValueError("the snapshot is incomplete")
             elif record_kind == CHUNK or record_kind == DELTA:
                 if record_kind == DELTA:
-                    version = VERSION.unpack_from(payload)[0]
-                offset = VERSION.size
+                    version = INT64_FIELD.unpack_from(payload)[0]
+                offset = INT64_FIELD.size
                 while offset < len(payload):
                     destination, length = DESTINATION_HEADER.unpack_from(payload, offset)
                     offset += DESTINATION_HEADER.size + length
@@ -164,7 +165,9 @@
     def _append(self, file: int, record_kind: bytes, payload: bytes) -> bool:
         record = _encode_record(record_kind, payload)
         if self.size + len(record) > self.max_bytes // 2:
-            return self._handle_failure(f"over {self.max_bytes // 2} bytes", RETRY_DELAY_AFTER_OVERFLOW)
+            return self._handle_failure(
+                f"the list needs more than {self.max_bytes // 2} bytes", RETRY_DELAY_AFTER_OVERFLOW
+            )
         try:
             write_all(file, record)
         except OSError as error:
@@ -181,7 +184,7 @@
 
     def _handle_failure(self, reason: str, retry_delay: float) -> bool:
         """Close the file and schedule a rewrite. The file stays valid for its own version, as readers skip a
-        torn tail, but no later delta may be appended: the delta that failed would be missing before it."""
+        torn tail, but no later delta may be appended, as the one that failed would be missing."""
         self._report_failure(reason)
         self.next_rewrite_at = asyncio.get_running_loop().time() + retry_delay
         self._schedule_retry(retry_delay)
@@ -209,7 +212,7 @@
 
     async def _rewrite(self, catalog: Catalog) -> None:
         """Write a snapshot in chunks, then a delta of what changed meanwhile, and replace the old file."""
-        new_file, sizes_before = None, (self.size, self.snapshot_size)
+        new_file, final_sizes = None, (self.size, self.snapshot_size)
         try:
             flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
             new_file = os.open(self.temporary_path, flags, 0o600)
@@ -226,7 +229,7 @@
                 succeeded = succeeded and self._append(new_file, CHUNK, _encode_destinations(catalog, chunk))
                 written += len(chunk)
                 await asyncio.sleep(CHUNK_PAUSE)
-            snapshot_end = VERSION.pack(catalog.version) + VERSION.pack(written)
+            snapshot_end = INT64_FIELD.pack(catalog.version) + INT64_FIELD.pack(written)
             succeeded = succeeded and self._append(new_file, SNAPSHOT_END, snapshot_end)
             if self.changed_during_rewrite:
                 succeeded = succeeded and self._append(
@@ -238,7 +241,7 @@
             os.rename(self.temporary_path, self.path)
             if self.file is not None:
                 close_quietly(self.file)
-            self.file, new_file, self.snapshot_size, sizes_before = (
+            self.file, new_file, self.snapshot_size, final_sizes = (
                 new_file,
                 None,
                 self.size,
@@ -248,13 +251,13 @@
         except OSError as error:
             self._handle_failure(str(error.strerror), RETRY_DELAY_AFTER_ERROR)
         finally:
-            self.size, self.snapshot_size = sizes_before
+            self.size, self.snapshot_size = final_sizes
             if new_file is not None:
                 close_quietly(new_file)
 
 
 def _encode_destinations(catalog: Catalog, destinations: Iterable[int]) -> bytes:
-    parts = [VERSION.pack(catalog.version)]
+    parts = [INT64_FIELD.pack(catalog.version)]
     for destination in destinations:
         packed = catalog.packed.get(destination, b"")
         parts += (DESTINATION_HEADER.pack(destination, len(packed)), packed)
--- a/garnetrelay/journal.py
+++ b/garnetrelay/journal.py
@@ -8,9 +8,9 @@
 
 A record is a JSON object, followed by a line feed and the message's body if there is one. Record kinds:
 ``taken`` (a message was accepted; after a rewrite, its full state), ``try`` (the first byte of an attempt is
-about to be sent), ``outcome``, ``ended`` and ``told`` (its notice was acknowledged). ``clock`` defines how to
-read the times in the records after it: as times of the monotonic clock of one boot of the machine plus an
-offset that brings them close to the wall clock. Records without a ``clock`` record before them come from
+about to be sent), ``outcome``, ``ended`` and ``told`` (its notice was acknowledged). ``clock`` names the
+boot and the offset for the records after it: a recorded time is that boot's monotonic time plus the offset,
+which makes it close to wall-clock time. Records without a ``clock`` record before them come from
 earlier versions, whose times are wall-clock times.
 """
 
@@ -41,7 +41,7 @@
 # bytes reserved for a message: its full record apart from names and body, and some later records about it
 RECORD_OVERHEAD = 1024
 MIN_REWRITE_BYTES = 256 * 1024  # a smaller file is not rewritten only to drop dead records
-REWRITE_RETRY_DELAY = 1.0  # seconds after a failed rewrite, while there is room without one
+REWRITE_RETRY_DELAY = 1.0  # seconds until an optional rewrite is tried again after it failed
 
 
 @dataclass(slots=True)
@@ -57,18 +57,21 @@
     attempts: int = 0
     trying_at: int | None = None  # start of an attempt without an outcome, which may have been executed
     trying_zone: str = ""
-    ran_at: int | None = None  # start of the first attempt known to have possibly been executed
+    ran_at: int | None = None  # start of the first attempt that may have been executed
     ran_zone: str = ""
     ended: str | None = None  # a result whose notice is not acknowledged yet
     wait_ms: int = 0
-    uncertain: bool = False  # a record was damaged after it was accepted: an attempt may be missing
+    # an attempt may be missing (a record was damaged) or its time is unknown (another boot): the message's
+    # deduplication window counts as over
+    uncertain: bool = False
 
 
 class Journal:
     """Appends records, keeps the live entries and rewrites the file to reclaim space.
 
-    While the disk fails, the entries in memory are ahead of the file: ``pending`` holds the records missing
-    there. They are written before any other record as soon as the disk accepts writes again.
+    While the disk fails, the entries in memory are ahead of the file: ``pending`` holds the records that
+    are not in the file yet. They are written before any other record as soon as the disk accepts writes
+    again.
     """
 
     def __init__(self, folder: Path, disk_bytes: int, name: str = "journal", create: bool = True) -> None:
@@ -89,7 +92,7 @@
         self.boot = boot_id()
         self.offset = wall_offset_ms()  # from times in memory to times in the file
         self.is_current_boot = False  # the times in the file are of this boot
-        self.next_rewrite_at = 0.0  # when a rewrite that no record depends on may be tried again
+        self.next_rewrite_at = 0.0  # when an optional rewrite may be tried again
         self.file = _open_locked(self.path, os.O_CREAT if create else 0)
         remove_quietly(self.temporary_path)  # left by a rewrite that a kill interrupted
         try:
@@ -116,7 +119,7 @@
     # ---- message lifecycle
 
     def has_room(self, weight: int) -> bool:
-        """Whether one more message fits, even while the old and the rewritten file exist side by side."""
+        """Return whether one more message fits, even while the old and the rewritten file exist together."""
         return not self.failing and 2 * (self.live_bytes + weight + RECORD_OVERHEAD) <= self.max_bytes
 
     def accept(self, entry: JournalEntry) -> bool:
@@ -126,31 +129,32 @@
         self._add(entry)
         return True
 
-    def record_attempt_start(self, ref: str, zone: str, now_ms: int) -> bool:
+    def record_attempt_start(self, message_id: str, zone: str, now_ms: int) -> bool:
         """Record the start of an attempt. Returns False if that fails: its first byte must not be sent
         then."""
-        record = {"t": "try", "ref": ref, "at": now_ms + self.offset, "zone": zone}
-        if ref not in self.entries or not self._append(_pack(record, b"")):
+        record = {"t": "try", "ref": message_id, "at": now_ms + self.offset, "zone": zone}
+        if message_id not in self.entries or not self._append(_pack(record, b"")):
             return False
         self._apply(record)
         return True
 
-    def record_outcome(self, ref: str, may_have_run: bool) -> None:
+    def record_outcome(self, message_id: str, possibly_executed: bool) -> None:
         """Record the outcome of the current attempt."""
-        self._append_or_queue({"t": "outcome", "ref": ref, "ran": may_have_run})
+        self._append_or_queue({"t": "outcome", "ref": message_id, "ran": possibly_executed})
 
-    def record_finish(self, ref: str, result: str | None, wait_ms: int = 0) -> bool:
+    def record_finish(self, message_id: str, result: str | None, wait_ms: int = 0) -> bool:
         """Record the end of a message, with the result that a notice has to report, or None if no notice is
         owed. Returns whether it is on record: until then no notice may be sent, as a successor could still
         send the message again."""
-        return self._append_or_queue({"t": "ended", "ref": ref, "result": result, "wait": wait_ms})
+        return self._append_or_queue({"t": "ended", "ref": message_id, "result": result, "wait": wait_ms})
 
-    def record_notified(self, ref: str) -> None:
+    def record_notified(self, message_id: str) -> None:
         """Record that the notice of a message was acknowledged."""
-        self._append_or_queue({"t": "told", "ref": ref})
+        self._append_or_queue({"t": "told", "ref": message_id})
 
     def flush(self) -> bool:
-        """Write the pending records. Returns whether none is left."""
+        """After a failure, write the pending records and check that the disk works. Returns whether writes
+        succeed."""
         if not self.failing:
             return True
         self._make_room(sum(map(len, self.pending)))
@@ -255,6 +259,7 @@
             self.size > max(MIN_REWRITE_BYTES, 3 * self.live_bytes)
             and time.monotonic() >= self.next_rewrite_at
         ):
+            # optional: drops dead records early
             if not self._rewrite():
                 self.next_rewrite_at = time.monotonic() + REWRITE_RETRY_DELAY
 
@@ -384,10 +389,10 @@
 NO_OP_RECORD = _pack({"t": "told", "ref": ""}, b"")  # changes no entry; its write shows that the disk works
 
 
-def record_weight(ref: str, key: str | None, body: bytes) -> int:
+def record_weight(message_id: str, key: str | None, body: bytes) -> int:
     """Return the bytes of a message's record that depend on its contents. Names count twice, as escaping can
     double their length."""
-    return len(body) + 2 * (len(ref) + len(key or ""))
+    return len(body) + 2 * (len(message_id) + len(key or ""))
 
 
 def _open_locked(path: Path, create_flag: int) -> int:
--- a/garnetrelay/ownership.py
+++ b/garnetrelay/ownership.py
@@ -1,8 +1,8 @@
 """Ownership of messages: a process owns the messages in the journals whose locks it holds.
 
-Two processes share the folder during an upgrade. Each message is in one journal. The holder of a journal's
-lock owns its messages, and the kernel frees the lock when the holder exits. A kill during a hand-over may
-leave a message in two unlocked journals; the process that acquires both keeps it once.
+Two processes share the folder during an upgrade. Normally each message is in one journal. The holder of a
+journal's lock owns its messages, and the kernel frees the lock when the holder exits. A kill during a
+hand-over may leave a message in two unlocked journals; the process that acquires both keeps it once.
 """
 
 from __future__ import annotations
@@ -30,12 +30,13 @@
     def __init__(self, folder: Path, disk_bytes: int, shared: bool) -> None:
         self.folder = folder
         self.shared = shared
-        # Another process may start at any time, and the limit applies to both together.
+        # For each journal. Another process may start at any time, and the disk limit applies to both
+        # together.
         self.max_bytes = (disk_bytes - disk_bytes // HANDOVER_DISK_DIVISOR) // 2 if shared else disk_bytes
         self.journals: dict[str, Journal] = {}
         self.held_by_others: list[Path] = []  # locked by another live process at the last check
         self.unreadable: set[str] = set()  # could not be opened or read at the last check
-        # acquired while another process is alive: a second journal may contain it too
+        # ids acquired while another process is alive: a second journal may contain the same messages
         self.acquired_ids: set[str] = set()
         self.entries: ChainMap[str, JournalEntry] = ChainMap()
         _require_folder(folder)
@@ -49,7 +50,11 @@
 
     @property
     def may_have_more(self) -> bool:
-        """Whether more journals may be acquired later: those of another process or not readable yet."""
+        """Whether more journals may be acquired later.
+
+        These are the journals of another process, those not readable yet, or the own one if it could not be
+        opened.
+        """
         return bool(self.held_by_others or self.unreadable) or self.own_journal is None
 
     @property
@@ -58,7 +63,10 @@
         return self.own_journal is None or any(journal.failing for journal in self.journals.values())
 
     def flush(self) -> bool:
-        """Write pending records. Return whether none is left."""
+        """Write pending records. Return whether writes succeed.
+
+        Removes acquired journals without entries.
+        """
         flushed = [journal.flush() for journal in self.journals.values()]
         self._remove_empty_journals()
         return self.own_journal is not None and all(flushed)
@@ -67,6 +75,7 @@
         """Acquire all unlocked journals, and open the own journal if that was not possible before.
 
         Returns the entries of the acquired journals: messages and notices that this process owns now.
+        Removes acquired journals without entries.
         """
         acquired: list[JournalEntry] = []
         try:
@@ -110,7 +119,7 @@
         self.unreadable.add(name)
 
     def is_held_elsewhere(self, message_id: str) -> bool:
-        """Return whether a message is in the journal of another live process."""
+        """Return whether a journal of another live process has any record of a message, even of its end."""
         pattern = b'"ref":' + json.dumps(message_id).encode()
         return any(pattern in _read_file(path) for path in self.held_by_others)
 
@@ -134,13 +143,14 @@
         """Return whether one more message fits.
 
         Acquired journals count until their messages have ended. Without a shared folder the journal of a
-        process that has not exited yet counts as well: that process used the whole disk limit.
+        process that has not exited yet counts as well: that process may use the whole disk limit.
         """
         other_journals_bytes = sum(
             journal.size for journal in self.journals.values() if journal is not self.own_journal
         )
         if not self.shared:
             other_journals_bytes += sum(_file_size(path) for path in self.held_by_others)
+        # Halved, because ``Journal.has_room`` counts the needed bytes twice.
         return self.own_journal is not None and self.own_journal.has_room(weight + other_journals_bytes // 2)
 
     def accept(self, entry: JournalEntry) -> bool:
@@ -163,14 +173,20 @@
             journal.record_outcome(message_id, possibly_executed)
 
     def record_finish(self, message_id: str, result: str | None, wait_ms: int = 0) -> bool:
-        """Record an end. Return whether it is recorded; see ``Journal.record_finish``."""
+        """Record an end. Return whether it is recorded; see ``Journal.record_finish``.
+
+        Removes acquired journals without entries.
+        """
         journal = self._journal_of(message_id)
         recorded = journal is not None and journal.record_finish(message_id, result, wait_ms)
         self._remove_empty_journals()
         return recorded
 
     def record_notified(self, message_id: str) -> None:
-        """Record that the notice of a message was acknowledged."""
+        """Record that the notice of a message was acknowledged.
+
+        Removes acquired journals without entries.
+        """
         if (journal := self._journal_of(message_id)) is not None:
             journal.record_notified(message_id)
         self._remove_empty_journals()
@@ -178,12 +194,16 @@
     # ---- journals
 
     def _journal_of(self, message_id: str) -> Journal | None:
+        """Return the journal that contains the message; if none does, the own one, or None without one."""
         return next(
             (journal for journal in self.journals.values() if message_id in journal.entries), self.own_journal
         )
 
     def _open_free_journal(self) -> Journal | None:
-        """Open the first unlocked or new journal; its number has no meaning. None if none can be opened."""
+        """Open the first unlocked or new journal. Return None if none can be opened.
+
+        The number in its name only makes the name unique.
+        """
         for number in range(MAX_JOURNALS):
             name = f"journal.{number}" if number else "journal"
             if name in self.journals:
@@ -205,7 +225,10 @@
         return None
 
     def _add_journal(self, journal: Journal) -> list[JournalEntry]:
-        """Add an acquired journal without the messages that another one contains. Return its entries."""
+        """Add an acquired journal, and drop from it the messages that another journal contains or contained.
+
+        Returns its remaining entries.
+        """
         for message_id in [
             message_id
             for message_id in journal.entries
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -46,15 +46,17 @@
 SHUTDOWN_TIMEOUT_NS = 3 * SECOND
 # From SIGTERM to the first call of the next process: it starts after 4.3 s at the earliest.
 RESTART_DELAY_NS = 5 * SECOND
-# Seconds from the end of a subscription to the next: a change counts as known 6 s later.
+# Seconds from the end of a subscription to the next. Changes must be known within 6 s.
 RESUBSCRIBE_DELAY = 0.1
 REPORT_INTERVAL = 5.0  # seconds between statistics in the log
-POLL_INTERVAL = 0.02  # seconds between checks for what another process of this relay has released
-IDLE_POLL_INTERVAL = 0.25  # the same if there is no other process
-GAUGE_INTERVAL = 0.2  # seconds between updates of the gauges: a figure may be 0.5 s late
+# Seconds between checks for what another process of this relay has released, and for the end of a shutdown.
+POLL_INTERVAL = 0.02
+IDLE_POLL_INTERVAL = 0.25  # seconds between checks for released journals if there is no other process
+GAUGE_INTERVAL = 0.2  # seconds between updates of the gauges; a gauge must be at most 0.5 s old
 MAX_REPORTED_DESTINATIONS = 3  # backlog lines in one report
 LISTEN_GRACE_PERIOD = 0.6  # seconds after SIGTERM: new connections arrive for up to 0.4 s
-JOURNAL_RETRY_INTERVAL = 0.05  # seconds between attempts to write to a failing disk: a notice is due in 0.3
+# Seconds between attempts to write to a failing disk. A notice is due within 0.3 s.
+JOURNAL_RETRY_INTERVAL = 0.05
 HEALTH_DISK_DIVISOR = 64  # health records get 1/64 of the disk limit
 # A client waits this long for a reply; its deadline is at most this much earlier than the relay's.
 CLIENT_REPLY_TIMEOUT_MS = 400
@@ -107,7 +109,7 @@
         health_bytes = config.disk_bytes // HEALTH_DISK_DIVISOR
         disk_bytes = config.disk_bytes - health_bytes
         self.health_store = HealthStore(config.state, health_bytes)
-        self.journal = Ownership(config.state, disk_bytes, shared)
+        self.journal = Ownership(config.state, disk_bytes, shared)  # the journals that this process owns
         self.handover = Handover(config.state, disk_bytes // HANDOVER_DISK_DIVISOR) if shared else None
         self.takeover_task: asyncio.Task[None] | None = None
         self.closing = False  # all requests are rejected
@@ -159,7 +161,7 @@
         if self.settings.discovery is io.DiscoveryMode.AUTOMATIC:
             self.discovery.subscribe()  # in the other mode the Pacer subscribes
         self.report_timer = asyncio.get_running_loop().call_later(REPORT_INTERVAL, self._log_report)
-        self._update_gauges()
+        self._run_periodic_updates()
         descriptor = self.config.inherited_fd
         inherited_socket = None if descriptor is None else socket.socket(fileno=descriptor)
         if self.handover is None or self.handover.acquire():
@@ -171,9 +173,10 @@
             log.info("waiting for the process before us to let go")
 
     def shutdown(self) -> None:
-        """Shut down gracefully: accept new connections for a while, then finish the calls, then exit.
+        """Shut down gracefully. This is the handler of SIGTERM.
 
-        This is the handler of SIGTERM.
+        With a successor, hand over to it at once; otherwise accept connections for ``LISTEN_GRACE_PERIOD``.
+        Then wait until no work is left, and exit after ``SHUTDOWN_TIMEOUT_NS`` at the latest.
         """
         if self.stopping:
             return
@@ -282,8 +285,8 @@
             log.info("backlog: %s", line)
         self.report_timer = asyncio.get_running_loop().call_later(REPORT_INTERVAL, self._log_report)
 
-    def _update_gauges(self) -> None:
-        """Copy figures of the Pacer and the stores to the metrics, which another thread reads."""
+    def _run_periodic_updates(self) -> None:
+        """Update the gauges, which another thread reads, and write pending health records."""
         _, avoided = self.pacer.endpoint_counts(time.monotonic_ns())
         self.metrics.cluster_size = len(self.catalog)
         draining_count = self.catalog.draining  # those that are loaded already count as avoided
@@ -299,7 +302,7 @@
         self.metrics.journal_failing = int(self.journal.failing)
         if not self.handed_over:
             self.health_store.flush()
-        self.gauge_timer = asyncio.get_running_loop().call_later(GAUGE_INTERVAL, self._update_gauges)
+        self.gauge_timer = asyncio.get_running_loop().call_later(GAUGE_INTERVAL, self._run_periodic_updates)
 
     # ---- startup
 
@@ -330,7 +333,11 @@
             if entry.ended is not None:
                 self.notices.queue_notice(entry.ref, entry.ended, entry.wait_ms)
             elif entry.klass not in self.class_indices:
-                log.error("journal: message %s has the unknown class %s", entry.ref, entry.klass)
+                log.error(
+                    "journal: message %s ended as dead: its class %s is not configured",
+                    entry.ref,
+                    entry.klass,
+                )
                 self._end_message_by_id(entry.ref, "dead", 0)
             else:
                 unattempted = not entry.attempts and not entry.uncertain
@@ -658,7 +665,11 @@
             self._schedule_journal_retry()
 
     def _answer_pending_requests(self, end_actions: dict[str, io.Reject | io.Fail]) -> None:
-        """Reply to pending requests. A message that did not end in this pass is journaled and accepted."""
+        """Reply to pending requests.
+
+        A message that did not end in this pass is journaled and accepted, or rejected if its client has gone
+        or the journal cannot record it.
+        """
         requests, self.pending_requests = self.pending_requests, {}
         for message_id, pending_request in requests.items():
             request, reply = pending_request.request, pending_request.reply
@@ -771,8 +782,9 @@
                 "message %s: attempt %d to %s ended: %s", send.message_id, attempt, send.endpoint, outcome
             )
             self.outcomes["stale" if outcome.stale else outcome.status.name.lower()] += 1
-            # If the message has finished, a kill between the two records would leave it on record as one that
-            # never ran.
+            # If the call finished the message, only its end is recorded: after an outcome record alone, a
+            # process that starts after a kill would take the attempt as never executed and send the message
+            # again.
             if start_recorded and not outcome.finished:
                 self.journal.record_outcome(send.message_id, outcome.status in POSSIBLY_EXECUTED)
             if self.handed_over and self.handover is not None:
