--- a/tests/clock.py
+++ b/tests/clock.py
@@ -1,5 +1,8 @@
-"""A clock that leaps: it stands while anything happens on the sockets, and a wait in between is over at once.
-So a test plays minutes in a second, and how busy the machine is has no part in what the clock shows."""
+"""A simulated clock for tests on sockets.
+
+It stands still while sockets are active and skips every wait in between. A test covers minutes in a second,
+and the load of the machine does not affect its times.
+"""
 
 from __future__ import annotations
 
@@ -11,34 +14,34 @@
 
 import pytest
 
-ON_ITS_WAY = 0.003  # real seconds in which what was written to a loopback socket reaches the other end
-STEP = 0.1  # seconds, the least that the clock moves on by
+ON_ITS_WAY = 0.003  # real seconds for data on a loopback socket to reach the other end
+STEP = 0.1  # seconds, the smallest advance of the clock
 
 
-class LeapingSelector(selectors.DefaultSelector):
-    """Sees what is ready. Where nothing is, the wait that was asked for has passed."""
+class SkippingSelector(selectors.DefaultSelector):
+    """Returns ready files; advances the clock by the requested timeout if there are none."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.leapt = 0  # nanoseconds
+        self.skipped = 0  # nanoseconds
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None or timeout <= 0:
             return super().select(timeout)
         ready = super().select(ON_ITS_WAY)
         if not ready:
-            self.leapt += round(max(timeout, STEP) * 1e9)
+            self.skipped += round(max(timeout, STEP) * 1e9)
         return ready
 
 
-def play(monkeypatch: pytest.MonkeyPatch, scene: Coroutine[Any, Any, None]) -> None:
-    """Run what a test plays, with all clocks of this process leaping."""
-    selector = LeapingSelector()
-    began, today = time.monotonic_ns(), time.time_ns()
+def run_with_simulated_clock(monkeypatch: pytest.MonkeyPatch, scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a scenario with the clocks of this process replaced by the simulated clock."""
+    selector = SkippingSelector()
+    monotonic_start, wall_start = time.monotonic_ns(), time.time_ns()
     with monkeypatch.context() as patch:
-        patch.setattr(time, "monotonic_ns", lambda: began + selector.leapt)
-        patch.setattr(time, "monotonic", lambda: (began + selector.leapt) / 1e9)
-        patch.setattr(time, "time_ns", lambda: today + selector.leapt)
-        patch.setattr(time, "time", lambda: (today + selector.leapt) / 1e9)
+        patch.setattr(time, "monotonic_ns", lambda: monotonic_start + selector.skipped)
+        patch.setattr(time, "monotonic", lambda: (monotonic_start + selector.skipped) / 1e9)
+        patch.setattr(time, "time_ns", lambda: wall_start + selector.skipped)
+        patch.setattr(time, "time", lambda: (wall_start + selector.skipped) / 1e9)
         with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
-            runner.run(scene)
+            runner.run(scenario)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A field for each test: a relay and all that it talks to."""
+"""Fixtures: a relay with its endpoint and platform, and a relay process."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @pytest_asyncio.fixture
 async def field(tmp_path: Path) -> AsyncIterator[Field]:
-    made = Field(tmp_path)
-    await made.prepare()
-    yield made
-    await made.stop()
+    created = Field(tmp_path)
+    await created.prepare()
+    yield created
+    await created.stop()
 
 
 @pytest_asyncio.fixture
 async def process(field: Field) -> AsyncIterator[Process]:
-    made = Process(field)
-    yield made
-    if made.child is not None and made.child.returncode is None:
-        await made.end(signal.SIGKILL)
+    created = Process(field)
+    yield created
+    if created.child is not None and created.child.returncode is None:
+        await created.stop(signal.SIGKILL)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""A relay as a process of its own, for the tests that signal or kill it."""
+"""A relay in a separate process, for tests that signal or kill it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Process:
-    """A relay that can be killed, and started again."""
+    """A relay process that can be killed and restarted."""
 
     def __init__(self, field: Field) -> None:
         self.field = field
@@ -29,9 +29,9 @@
         self.mgmt: int | None = None
         self.inherited: int | None = None
         self.child: asyncio.subprocess.Process | None = None
-        self.module = "garnetrelay"  # what python runs
-        self.extra: dict[str, str] = {}  # of its environment
-        self.log: list[str] = []  # as far as it has been read
+        self.module = "garnetrelay"  # that python -m runs
+        self.extra: dict[str, str] = {}  # environment variables
+        self.log: list[str] = []  # the lines read so far
 
     async def start(self, until: str = "serves on") -> Client:
         environment = {**os.environ, **self.field.environment(self.port, self.mgmt), **self.extra}
@@ -46,22 +46,22 @@
             stderr=asyncio.subprocess.PIPE,
             pass_fds=() if self.inherited is None else (self.inherited,),
         )
-        await self.says(until)
+        await self.wait_for_log(until)
         return await Client.connect(self.port)
 
-    async def says(self, text: str) -> None:
-        """Wait for a line of its log."""
+    async def wait_for_log(self, text: str) -> None:
+        """Read the log up to a line that contains the text."""
         assert self.child is not None and self.child.stderr is not None
         async with asyncio.timeout(PATIENCE):
             while line := (await self.child.stderr.readline()).decode():
                 self.log.append(line)
                 if text in line:
                     return
-        raise AssertionError(f"the relay ended and never said '{text}'")
+        raise AssertionError(f"the relay ended without logging '{text}'")
 
-    async def end(self, number: signal.Signals) -> int:
+    async def stop(self, signal_number: signal.Signals) -> int:
         assert self.child is not None
         if self.child.returncode is None:
-            self.child.send_signal(number)
+            self.child.send_signal(signal_number)
         async with asyncio.timeout(PATIENCE):
             return await self.child.wait()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""The other side, on loopback sockets: hosts, the platform and a client, each told by the test what to do."""
+"""Endpoints, the platform and a client on loopback sockets, each controlled by the test."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from garnetrelay.config import Config, load
 from garnetrelay.relay import Relay
 
-ACCEPTED = 4  # turns of the loop from a connection's accept to the start of the task that serves it
-PATIENCE = 20.0  # seconds after which a test that waits in vain has failed
+ACCEPTED = 4  # event loop iterations from the accept of a connection to the start of its handler task
+PATIENCE = 20.0  # seconds, timeout of each wait in a test
 
 FACTS: dict[str, Any] = {
     "azs": ["north", "south"],
@@ -56,7 +56,7 @@
 
 
 class Call:
-    """A request that has come in whole, and the connection it came on."""
+    """A completely received request and its connection."""
 
     def __init__(self, line: str, headers: dict[str, str], body: bytes, writer: asyncio.StreamWriter) -> None:
         self.line = line
@@ -72,15 +72,15 @@
         head = [f"HTTP/1.1 {status} Whatever", f"Content-Length: {len(body)}", *headers]
         self.writer.write("\r\n".join(head).encode() + b"\r\n\r\n" + body)
 
-    def raw(self, data: bytes) -> None:
+    def send_raw(self, data: bytes) -> None:
         self.writer.write(data)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         self.writer.transport.abort()
 
 
 class HttpServer:
-    """Listens, and hands each request to the test."""
+    """An HTTP server that queues each request for the test."""
 
     def __init__(self) -> None:
         self.calls: asyncio.Queue[Call] = asyncio.Queue()
@@ -118,14 +118,14 @@
                 pairs = (line.split(": ", 1) for line in head[1:] if line)
                 headers = {name.lower(): value for name, value in pairs}
                 body = await reader.readexactly(int(headers.get("content-length", "0")))
-                self.take(Call(head[0], headers, body, writer))
+                self.on_call(Call(head[0], headers, body, writer))
         except (asyncio.IncompleteReadError, ConnectionError):
             self.closed.put_nowait(number)
         finally:
             self.writers.discard(writer)
             writer.transport.abort()
 
-    def take(self, call: Call) -> None:
+    def on_call(self, call: Call) -> None:
         self.calls.put_nowait(call)
 
     async def next_call(self) -> Call:
@@ -134,19 +134,22 @@
 
 
 class Platform(HttpServer):
-    """Discovery and notices. Watches land in ``calls``; notices are acknowledged unless told otherwise."""
+    """Discovery and the receiver of notices.
+
+    Watch requests are queued in ``calls``. Notices are acknowledged, except the next ``rejections`` posts.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.notices: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
-        self.refusals = 0
+        self.rejections = 0
 
-    def take(self, call: Call) -> None:
+    def on_call(self, call: Call) -> None:
         if not call.line.startswith("POST /v1/notices "):
-            super().take(call)
+            super().on_call(call)
             return
-        if self.refusals:
-            self.refusals -= 1
+        if self.rejections:
+            self.rejections -= 1
             call.answer(503)
             return
         for line in call.body.splitlines():
@@ -164,7 +167,7 @@
 
 
 class Watch:
-    """A watch that the relay has opened."""
+    """A watch of the endpoint list that the relay has opened."""
 
     def __init__(self, call: Call) -> None:
         self.call = call
@@ -191,14 +194,14 @@
     return json.dumps({"index": index, "snapshot": snapshot, "endpoints": list(endpoints)})
 
 
-def packed(*words: str | bytes) -> bytes:
-    """A command as it goes over the wire."""
+def encode_command(*words: str | bytes) -> bytes:
+    """Encode a command in RESP2."""
     data: bytes = hiredis.pack_command(tuple(words))  # type: ignore[arg-type]
     return data
 
 
 class Client:
-    """A client's connection."""
+    """A client connection to the relay."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -210,10 +213,10 @@
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def write(self, *words: str | bytes) -> None:
-        self.writer.write(packed(*words))
+        self.writer.write(encode_command(*words))
 
     async def read(self) -> Any:
-        """The next answer; None when the relay has closed."""
+        """Return the next answer, or None once the relay has closed the connection."""
         async with asyncio.timeout(PATIENCE):
             while (answer := self.parser.gets()) is False:
                 data = await self.reader.read(65536)
@@ -227,13 +230,13 @@
         return await self.read()
 
     async def enqueue(
-        self, ref: str, klass: str = "safe", d: int = 8000, body: bytes = b"x", dest: int = 3
+        self, ref: str, class_name: str = "safe", d: int = 8000, body: bytes = b"x", dest: int = 3
     ) -> Any:
-        return await self.ask("ENQUEUE", "0000", ref, f"c={klass},d={d},k=key-{ref},dest={dest}", body)
+        return await self.ask("ENQUEUE", "0000", ref, f"c={class_name},d={d},k=key-{ref},dest={dest}", body)
 
 
 async def http(port: int, line: str) -> tuple[int, str]:
-    """One call at the operators' door: the answer's status and body."""
+    """Call the management interface and return status and body of the answer."""
     async with asyncio.timeout(PATIENCE):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"{line} HTTP/1.1\r\nHost: door\r\n\r\n".encode())
@@ -243,7 +246,7 @@
 
 
 class Field:
-    """A relay, its hosts, its platform and a client."""
+    """A relay in this process with its endpoint, its platform and its configuration."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -254,7 +257,7 @@
         self.facts = copy.deepcopy(FACTS)
         self.limits: dict[str, float] = {"memory_mb": 192, "sockets": 1024, "disk_mb": 3}
         self.endpoints: list[dict[str, Any]] = []
-        self.extra: dict[str, Any] = {}  # of the configuration's optional parts
+        self.extra: dict[str, Any] = {}  # optional parts of the configuration
         self.relays: list[Relay] = []
 
     async def prepare(self) -> None:
@@ -285,7 +288,7 @@
         return load(self.environment())
 
     async def start(self) -> Client:
-        """A relay in this process, and a client of it."""
+        """Start a relay in this process and connect a client to it."""
         relay = Relay(self.config())
         self.relays.append(relay)
         await relay.start()
@@ -299,8 +302,8 @@
         await self.host.stop()
         await self.platform.stop()
 
-    async def warm(self, client: Client) -> None:
-        """Two messages delivered: after a host's first call alone, the Pacer gives its connection back."""
+    async def warm_up(self, client: Client) -> None:
+        """Deliver two messages: the Pacer closes the connection of an endpoint's first call."""
         for n in range(2):
             await client.enqueue(f"warm{n}")
             (await self.host.next_call()).answer(200)
@@ -308,7 +311,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Let the loop run until something has come about that no queue tells of."""
+    """Run the event loop until a condition holds that no queue reports."""
     async with asyncio.timeout(PATIENCE):
         while not condition():
             await asyncio.sleep(0)
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""The list as it is held, read and kept: packed, entry by entry, and on the disk."""
+"""The list as it is held, read and kept: encode_command, entry by entry, and on the disk."""
 
 from __future__ import annotations
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -70,7 +70,7 @@
     await asyncio.sleep(began + 3.0 - time.monotonic())
     assert await client.enqueue("open", "keyed", d=7900, dest=4) == b"OK"
     await other.next_call()
-    await process.end(KILL)
+    await process.stop(KILL)
     clock.step(step)
     await asyncio.sleep(began + 4.1 - time.monotonic())
     while not field.host.calls.empty():  # those within the window
@@ -92,7 +92,7 @@
     assert await client.enqueue("late", "unsafe", d=900) == b"OK"
     (await field.host.next_call()).answer(503)
     assert await client.enqueue("early", "safe", d=7900) == b"OK"
-    await process.end(KILL)
+    await process.stop(KILL)
     clock.step(step)
     await asyncio.sleep(0.9)
     await process.start()
@@ -112,7 +112,7 @@
     assert await client.enqueue("m1", "unsafe", d=7900) == b"OK"
     for step, number in zip((3600.0, -3600.0), numbers, strict=True):
         await refuse_once(field)
-        await process.end(number)
+        await process.stop(number)
         clock.step(step)
         await process.start()
     call = await field.host.next_call()
@@ -152,7 +152,7 @@
     (await field.host.next_call()).answer(429, "X-Backoff-Ms: 1500")
     clock.step(step)
     await pair.new.start("waiting for the process before us")
-    await pair.old.end(TERM)
+    await pair.old.stop(TERM)
     call = await field.host.next_call()
     ends = time.monotonic() - began + int(call.headers["x-timeout-ms"]) / 1000
     assert call.headers["x-request-id"] == "m1" and 7.5 < ends < 8.0
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -102,8 +102,8 @@
         assert await client.enqueue(f"silent{n}", d=59000) == b"OK"
         await field.host.next_call()
 
-    field.platform.take = lambda call: None  # type: ignore[method-assign]
-    watch.call.break_off()
+    field.platform.on_call = lambda call: None  # type: ignore[method-assign]
+    watch.call.abort()
     process.child.send_signal(signal.SIGSTOP)  # as on a busy machine: all come before it looks again
     crowd = Crowd(process.port)
     tasks += [asyncio.create_task(crowd.one()) for _ in range(CROWD)]
@@ -114,7 +114,7 @@
         most = max(most, descriptors(process))
         await asyncio.sleep(0.01)
 
-    del field.platform.take
+    del field.platform.on_call
     async with asyncio.timeout(TOLD):
         watch = await field.platform.next_watch()
     watch.line(
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -43,7 +43,7 @@
     assert await kept.read() is None
     assert await drained(process)
     assert process.child is not None and process.child.returncode is None
-    assert await process.end(signal.SIGTERM) == 0
+    assert await process.stop(signal.SIGTERM) == 0
 
 
 async def test_connection_that_has_just_come_up_keeps_the_time_for_its_first_request(field: Field) -> None:
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -188,7 +188,7 @@
 ) -> None:
     field.facts["limits"].update(retryAfter=True, maxRetryAfter=3 * 10**9)
     client = await field.start()
-    await field.warm(client)
+    await field.warm_up(client)
     disk = FailingDisk(monkeypatch, errno.ENOSPC, ("write", "open"))
     for count in range(20):
         assert 0 < await refused(client, f"refused{count}") <= 3000
@@ -203,7 +203,7 @@
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     client = await field.start()
-    await field.warm(client)
+    await field.warm_up(client)
     write, left = os.write, [1]
 
     def takes_one_record(file: int, data: Any) -> int:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -107,4 +107,4 @@
     process.mgmt = free_port()
     await process.start()
     assert (await http(process.mgmt, "GET /healthcheck"))[0] == 200
-    assert await process.end(signal.SIGTERM) == 0
+    assert await process.stop(signal.SIGTERM) == 0
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -32,7 +32,7 @@
 
 
 def take(call: Call) -> None:
-    call.raw(b"HTTP/1.1 204 No Content\r\n\r\n")
+    call.send_raw(b"HTTP/1.1 204 No Content\r\n\r\n")
 
 
 @pytest_asyncio.fixture
@@ -88,9 +88,9 @@
     desk.notices.queue_notice("a", "dead", 0)
     call, first = await desk.next_post()
     if answer is None:
-        call.break_off()
+        call.abort()
     else:
-        call.raw(answer)
+        call.send_raw(answer)
     call, again = await desk.next_post()
     assert again == first and desk.told == []
     take(call)
@@ -111,7 +111,7 @@
 async def test_connection_that_the_platform_closed_in_between_is_opened_anew(desk: Desk) -> None:
     desk.notices.queue_notice("a", "dead", 0)
     first, _ = await desk.next_post()
-    first.raw(b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
+    first.send_raw(b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
     await until(lambda: not desk.notices.queue)
     desk.notices.queue_notice("b", "dead", 0)
     second, lines = await desk.next_post()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -21,7 +21,7 @@
     for ref, klass in (("u", "unsafe"), ("k", "keyed"), ("s", "safe")):
         assert await client.enqueue(ref, klass) == b"OK"
         await field.host.next_call()  # out, without an outcome
-    await process.end(signal.SIGKILL)
+    await process.stop(signal.SIGKILL)
     await process.start()
     assert await field.platform.next_notice() == {"ref": "u", "result": "dead"}
     again = {}
@@ -30,7 +30,7 @@
         again[call.headers["x-request-id"]] = call.body
         call.answer(200)
     assert again == {"k": b"x", "s": b"x"}
-    assert await process.end(signal.SIGTERM) == 0
+    assert await process.stop(signal.SIGTERM) == 0
     assert Journal(field.state, 3_000_000).entries == {}
 
 
@@ -66,7 +66,7 @@
     assert call.headers["x-request-id"] == "here"
     call.answer(200)
     assert await field.platform.next_notice() == {"ref": "stale", "result": "dead"}
-    await process.end(signal.SIGTERM)
+    await process.stop(signal.SIGTERM)
     assert field.host.calls.empty()
     assert set(Journal(field.state, 3_000_000).entries) == {"elsewhere"}
 
@@ -109,7 +109,7 @@
     (await field.host.next_call()).answer(500)
     assert await moved.next_notice() == {"ref": "m1", "result": "dead"}
     assert old.notices.empty()
-    assert await process.end(signal.SIGTERM) == 0
+    assert await process.stop(signal.SIGTERM) == 0
     await old.stop()
 
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -186,12 +186,12 @@
             calls.append(time.monotonic())
         call.answer(500 if down else 200)
 
-    field.host.take = take  # type: ignore[method-assign]
+    field.host.on_call = take  # type: ignore[method-assign]
     client = await process.start()
     for number in range(60):
         assert await client.enqueue(f"m{number}", "safe", d=8000) == b"OK"
-    await process.says("outage")
-    await process.end(signal.SIGKILL)
+    await process.wait_for_log("outage")
+    await process.stop(signal.SIGKILL)
     down = False
     await process.start()
     async with asyncio.timeout(PATIENCE):
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -116,7 +116,7 @@
         client = await process.start()
         assert process.child is not None and await client.ask("PING") == b"PONG"
         used.append(processor_seconds(process.child.pid))
-        await process.end(signal.SIGKILL)
+        await process.stop(signal.SIGKILL)
         number = len(full.refs)
         assert any(f"picked up {number} messages and notices, " in line for line in process.log)
     used.pop(0)  # it compiled the program
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""A relay in this process against hosts, a platform and clients on loopback sockets."""
+"""Tests of a relay in this process against endpoints, a platform and clients on loopback sockets."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from garnetrelay import clients, discovery, connection_pool
 from garnetrelay.config import Address
 from starlingwick import interface as io
-from tests.sockets import Client, Field, HttpServer, endpoint, listing, packed, until
+from tests.sockets import Client, Field, HttpServer, endpoint, listing, encode_command, until
 
 # ---- admission
 
 
-async def test_message_is_taken_on_before_it_is_delivered_and_goes_on_unchanged(field: Field) -> None:
+async def test_message_is_accepted_before_delivery_and_forwarded_unchanged(field: Field) -> None:
     client = await field.start()
     body = bytes(range(256)) + b"\r\n"
     assert await client.enqueue("m1", "keyed", body=body) == b"OK"
-    call = await field.host.next_call()  # not answered yet, and the client knows already
+    call = await field.host.next_call()  # unanswered: the client was acknowledged before
     assert call.line == "POST /hook HTTP/1.1" and call.body == body
     assert call.headers["x-request-id"] == "m1" and call.headers["idempotency-key"] == "key-m1"
     assert 0 < int(call.headers["x-timeout-ms"]) <= 8000
@@ -28,7 +28,7 @@
     assert field.relays[0].journal.entries == {} and field.platform.notices.empty()
 
 
-async def test_attempt_is_on_record_before_its_first_byte(field: Field) -> None:
+async def test_attempt_is_journaled_before_its_first_byte(field: Field) -> None:
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     await field.host.next_call()
@@ -36,7 +36,7 @@
     assert b'"t":"taken"' in journal and b'"t":"try","ref":"m1"' in journal
 
 
-async def test_no_room_in_the_journal_is_busy(field: Field) -> None:
+async def test_message_that_does_not_fit_in_the_journal_is_rejected_as_busy(field: Field) -> None:
     field.limits["disk_mb"] = 0.05
     client = await field.start()
     answer = await client.enqueue("m1", body=bytes(60_000))
@@ -44,7 +44,7 @@
     assert await client.enqueue("m2") == b"OK"
 
 
-async def test_full_hold_turns_messages_away_and_never_holds_more(field: Field) -> None:
+async def test_relay_at_its_message_limit_rejects_and_never_exceeds_it(field: Field) -> None:
     field.facts["limits"]["mostHeld"] = 20
     client = await field.start()
     answers = [await client.enqueue(f"m{n}") for n in range(40)]
@@ -52,8 +52,8 @@
     bounced = 0
     while not field.platform.notices.empty():
         bounced += field.platform.notices.get_nowait()["result"] == "bounced"
-    refused = sum(str(answer).startswith("BUSY") for answer in answers)
-    assert refused + bounced >= 20 and set(answers) <= {b"OK", "BUSY"}
+    rejected = sum(str(answer).startswith("BUSY") for answer in answers)
+    assert rejected + bounced >= 20 and set(answers) <= {b"OK", "BUSY"}
 
 
 @pytest.mark.parametrize(
@@ -89,7 +89,7 @@
         "unknown",
     ],
 )
-async def test_request_that_makes_no_sense_gets_an_error_and_the_connection_stays(
+async def test_invalid_request_gets_an_error_and_the_connection_stays_open(
     field: Field, words: tuple[str | bytes, ...]
 ) -> None:
     client = await field.start()
@@ -112,42 +112,42 @@
     ],
     ids=["inline", "length", "count", "no length", "integer", "huge count", "nested", "huge length"],
 )
-async def test_lost_framing_gets_an_error_and_a_close(field: Field, data: bytes) -> None:
+async def test_framing_error_gets_an_error_and_closes_the_connection(field: Field, data: bytes) -> None:
     client = await field.start()
     client.writer.write(data)
     assert (await client.read()).startswith("ERR")
     assert await client.read() is None
 
 
-async def test_string_longer_than_its_length_is_no_request(field: Field) -> None:
-    """The parser alone would take the first for a message of 'abcd', and the second for a proper one."""
+async def test_string_longer_than_its_declared_length_is_rejected(field: Field) -> None:
+    """The parser alone would accept the first as a message with body 'abcd', and the second as valid."""
     client = await field.start()
-    command = packed("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", "abcd")
+    command = encode_command("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", "abcd")
     client.writer.write(command[:-2] + b"XX" + command)
     assert (await client.read()).startswith("ERR")
     assert await client.read() is None
     assert field.relays[0].held_messages == {} and field.host.calls.empty()
 
 
-async def test_command_may_come_in_pieces_and_with_the_next_behind_it(field: Field) -> None:
+async def test_command_may_arrive_in_pieces_and_followed_by_the_next(field: Field) -> None:
     client = await field.start()
-    one = packed("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", bytes(64 * 1024))
-    data = one + packed("PING") + one.replace(b"m1", b"m2")
+    one = encode_command("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", bytes(64 * 1024))
+    data = one + encode_command("PING") + one.replace(b"m1", b"m2")
     for start in range(0, len(data), 5000):
         client.writer.write(data[start : start + 5000])
         await client.writer.drain()
     assert [await client.read() for _ in range(3)] == [b"OK", b"PONG", b"OK"]
 
 
-async def test_lost_framing_behind_a_request_leaves_the_turn_whole(field: Field) -> None:
-    """Its answer is due when the connection is being closed: that must not cost the others theirs."""
+async def test_framing_error_behind_a_request_does_not_abort_the_planning_pass(field: Field) -> None:
+    """The answer to the request falls due while the connection is closing: other clients still get theirs."""
     client = await field.start()
     other = await Client.connect(client.writer.get_extra_info("peername")[1])
     assert await other.ask("PING") == b"PONG"
     client.write("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", "x")
     client.writer.write(b"garbage")
     other.write("ENQUEUE", "0", "m2", "c=safe,d=8000,dest=3", "x")
-    assert await client.read() == "BUSY"  # not taken on: what comes with garbage is no proper request
+    assert await client.read() == "BUSY"  # not accepted: garbage follows the request
     assert (await client.read()).startswith("ERR") and await client.read() is None
     assert await other.read() == b"OK"
     call = await field.host.next_call()
@@ -160,10 +160,10 @@
 
 @pytest.mark.parametrize(
     "begun",
-    [b"", b"*5\r\n$7\r\nENQ", packed("PING") + b"*5\r\n$7\r\nENQ"],
+    [b"", b"*5\r\n$7\r\nENQ", encode_command("PING") + b"*5\r\n$7\r\nENQ"],
     ids=["silent", "in part", "in part behind a request"],
 )
-async def test_peer_without_a_whole_request_is_closed_in_time(
+async def test_client_without_a_complete_request_is_closed_after_the_timeout(
     field: Field, monkeypatch: pytest.MonkeyPatch, begun: bytes
 ) -> None:
     assert clients.REQUEST_TIMEOUT < 3
@@ -179,19 +179,21 @@
     assert server.closed_unused_count == (not begun)
 
 
-async def test_client_whose_requests_have_come_stays_connected(
+async def test_client_with_complete_requests_stays_connected(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(clients, "REQUEST_TIMEOUT", 0.05)
     client = await field.start()
     assert await client.ask("PING") == b"PONG"
     silent = await Client.connect(client.writer.get_extra_info("peername")[1])
-    assert await silent.read() is None  # by now the first would have gone as well
+    assert await silent.read() is None  # by now the first client would have been closed as well
     assert await client.ask("PING") == b"PONG"
 
 
-async def test_quiet_peers_make_way_for_a_client(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
-    """They hold a third of the descriptors between them: nobody else could hand in a message."""
+async def test_idle_clients_are_closed_for_a_new_client(
+    field: Field, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Idle clients hold a third of the descriptors, so that no other client could enqueue a message."""
     monkeypatch.setattr(clients, "IDLE_TIMEOUT", 0.0)
     field.limits["sockets"] = 30
     client = await field.start()
@@ -205,7 +207,7 @@
     assert await quiet[-1].ask("PING") == b"PONG"
 
 
-async def test_client_beyond_the_bound_is_told_that_it_may_come_again(field: Field) -> None:
+async def test_client_beyond_the_connection_limit_gets_busy(field: Field) -> None:
     field.limits["sockets"] = 30
     client = await field.start()
     port = client.writer.get_extra_info("peername")[1]
@@ -247,20 +249,20 @@
         (500, [(b"X-Server-Load", b"x0=nan,x1=?")], connection_pool.Outcome(io.Status.ERROR)),
     ],
 )
-def test_answer_is_read_as_the_protocol_says(
+def test_http_answer_maps_to_its_outcome(
     status: int, headers: list[tuple[bytes, bytes]], outcome: connection_pool.Outcome
 ) -> None:
     assert connection_pool.read_outcome(status, headers) == outcome
 
 
-async def test_unsafe_message_dies_with_a_connection_that_broke_behind_it(field: Field) -> None:
+async def test_unsafe_message_fails_when_its_connection_breaks_after_the_request(field: Field) -> None:
     client = await field.start()
     await client.enqueue("m1", "unsafe")
-    (await field.host.next_call()).break_off()
+    (await field.host.next_call()).abort()
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
 
 
-async def test_unsafe_message_whose_connection_never_came_up_is_sent_again(field: Field) -> None:
+async def test_unsafe_message_is_retried_after_a_failed_connect(field: Field) -> None:
     address = field.host.address
     await field.host.stop()
     client = await field.start()
@@ -275,9 +277,12 @@
     assert field.platform.notices.empty()
 
 
-async def test_delivery_as_the_time_runs_out_is_told_by_a_notice_too(field: Field) -> None:
-    """The client counts its 900 ms from when it sent, we from when we read it, up to 400 ms later: a delivery
-    in the last 400 ms by our count may have come after its time, and then it ends nothing."""
+async def test_delivery_close_to_the_deadline_also_sends_a_notice(field: Field) -> None:
+    """The client counts its 900 ms from sending, the relay from reading, up to 400 ms later.
+
+    A delivery in the last 400 ms by the relay's count may be past the client's deadline and then does not
+    end the message.
+    """
     client = await field.start()
     await client.enqueue("m1", "unsafe", d=900)
     call = await field.host.next_call()
@@ -292,17 +297,17 @@
     assert field.relays[0].metrics.current == 0
 
 
-async def test_answer_that_stopped_short_is_told_by_a_notice_too_when_it_is_given_up(field: Field) -> None:
+async def test_incomplete_answer_ends_in_a_notice_at_the_deadline(field: Field) -> None:
     client = await field.start()
     await client.enqueue("m1", "unsafe", d=500)
-    (await field.host.next_call()).raw(b"HTTP/1.1 200 OK\r\nContent-Le")
+    (await field.host.next_call()).send_raw(b"HTTP/1.1 200 OK\r\nContent-Le")
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
 
 
-async def test_answer_that_cannot_be_read_is_a_reset(field: Field) -> None:
+async def test_malformed_answer_counts_as_a_reset(field: Field) -> None:
     client = await field.start()
     await client.enqueue("m1", "unsafe")
-    (await field.host.next_call()).raw(b"\x00\x01 what is this?\r\n\r\n")
+    (await field.host.next_call()).send_raw(b"\x00\x01 what is this?\r\n\r\n")
     assert (await field.platform.next_notice())["result"] == "dead"
 
 
@@ -310,7 +315,7 @@
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
-    call.raw(answer)
+    call.send_raw(answer)
     await call.writer.drain()
     call.writer.close()
 
@@ -325,7 +330,7 @@
     ],
     ids=["torn", "header", "length", "behind 1xx"],
 )
-async def test_first_line_that_says_200_stands_whatever_follows(field: Field, answer: bytes) -> None:
+async def test_status_line_200_counts_whatever_follows(field: Field, answer: bytes) -> None:
     await answer_and_close(field, answer)
     await until(lambda: not field.relays[0].held_messages)
     assert field.relays[0].journal.entries == {} and field.relays[0].notices.queue == {}
@@ -341,19 +346,19 @@
     ],
     ids=["first line torn", "no 200", "only 1xx", "500"],
 )
-async def test_torn_answer_without_a_200_line_may_have_run(field: Field, answer: bytes) -> None:
+async def test_truncated_answer_without_a_200_line_may_have_run(field: Field, answer: bytes) -> None:
     await answer_and_close(field, answer)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
 
 
-async def test_message_past_all_its_attempts_ends_at_once(field: Field) -> None:
+async def test_message_answered_504_ends_at_once(field: Field) -> None:
     client = await field.start()
     await client.enqueue("m1")
     (await field.host.next_call()).answer(504)
     assert (await field.platform.next_notice())["ref"] == "m1"
 
 
-async def test_message_that_is_over_at_the_host_needs_no_notice(field: Field) -> None:
+async def test_message_already_finished_at_the_endpoint_needs_no_notice(field: Field) -> None:
     client = await field.start()
     await client.enqueue("m1")
     (await field.host.next_call()).answer(410)
@@ -361,7 +366,7 @@
     assert field.platform.notices.empty() and field.relays[0].journal.entries == {}
 
 
-async def test_giving_up_closes_the_connection_and_the_end_is_told_in_time(field: Field) -> None:
+async def test_deadline_closes_the_connection_and_sends_the_notice_in_time(field: Field) -> None:
     client = await field.start()
     sent = time.monotonic()
     await client.enqueue("m1", "unsafe", d=300)
@@ -369,77 +374,77 @@
     async with asyncio.timeout(20):
         assert await field.host.closed.get() == call.connection
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
-    assert time.monotonic() - sent >= 0.29  # not before its time was up
+    assert time.monotonic() - sent >= 0.29  # not before the deadline
 
 
-async def test_refused_call_keeps_its_connection_and_the_told_wait_is_heeded(field: Field) -> None:
+async def test_throttled_call_keeps_its_connection_and_retry_after_is_heeded(field: Field) -> None:
     client = await field.start()
-    await field.warm(client)
+    await field.warm_up(client)
     await client.enqueue("m1")
     first = await field.host.next_call()
     first.answer(429, "X-Backoff-Ms: 400")
-    told = time.monotonic()
+    throttled_at = time.monotonic()
     again = await field.host.next_call()
-    assert again.connection == first.connection and time.monotonic() - told >= 0.39
+    assert again.connection == first.connection and time.monotonic() - throttled_at >= 0.39
 
 
 # ---- connections
 
 
-async def test_next_call_uses_the_same_connection_also_behind_1xx_and_a_body(field: Field) -> None:
+async def test_next_call_reuses_the_connection_after_1xx_and_a_body(field: Field) -> None:
     client = await field.start()
-    await field.warm(client)
+    await field.warm_up(client)
     seen = set()
     for n in range(3):
         await client.enqueue(f"m{n}")
         call = await field.host.next_call()
         seen.add(call.connection)
-        call.raw(b"HTTP/1.1 102 Processing\r\n\r\n")
+        call.send_raw(b"HTTP/1.1 102 Processing\r\n\r\n")
         call.answer(200, body=b"thanks")
         await until(lambda: not field.relays[0].held_messages)
     assert len(seen) == 1
 
 
-async def test_idle_connection_is_retired_before_the_host_closes_it(field: Field) -> None:
+async def test_idle_connection_is_closed_before_the_endpoint_closes_it(field: Field) -> None:
     field.facts["limits"]["connIdle"] = 1_000_000_000
     client = await field.start()
-    await field.warm(client)
-    net = field.relays[0].connection_pool
-    assert any(net.idle.values()) and net.idle_timeout_seconds == 0.8
-    await until(lambda: not net.open)
+    await field.warm_up(client)
+    pool = field.relays[0].connection_pool
+    assert any(pool.idle.values()) and pool.idle_timeout_seconds == 0.8
+    await until(lambda: not pool.open)
     async with asyncio.timeout(20):
         for _ in range(2):
             await field.host.closed.get()
 
 
-async def test_connection_of_one_among_many_relays_stands_idle_for_its_part_of_the_time(field: Field) -> None:
-    """Two calls in quick succession kept it for the host's whole limit, at each of 40 relays: the host's
-    table was full of idle connections."""
+async def test_idle_timeout_shrinks_with_the_number_of_relays(field: Field) -> None:
+    """Two calls in quick succession kept a connection for the endpoint's whole idle limit at each of 40
+    relays, which filled the endpoint's table with idle connections."""
     field.facts["balancers"] = 40
     field.facts["limits"]["connIdle"] = 40_000_000_000
     client = await field.start()
-    await field.warm(client)
-    async with asyncio.timeout(20):  # a second, and half a minute if it were one relay's
+    await field.warm_up(client)
+    async with asyncio.timeout(20):  # it takes a second; with a single relay half a minute
         for _ in range(2):
             await field.host.closed.get()
     assert not field.relays[0].connection_pool.open
 
 
-async def test_connection_that_the_host_has_closed_is_not_used_again(field: Field) -> None:
-    """The end lies on the socket when the next message comes, unread yet: writing behind it would be a
-    reset, and an unsafe message would die of it."""
+async def test_connection_closed_by_the_endpoint_is_not_reused(field: Field) -> None:
+    """The endpoint's FIN is still unread when the next message arrives. Writing to that connection would
+    cause a reset, and an unsafe message would fail."""
     client = await field.start()
-    await field.warm(client)
+    await field.warm_up(client)
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
     call.answer(200)
-    net = field.relays[0].connection_pool
+    pool = field.relays[0].connection_pool
     await until(lambda: not field.relays[0].held_messages)
-    await until(lambda: any(net.idle.values()))
-    idle = net.idle["s-1"][0]
+    await until(lambda: any(pool.idle.values()))
+    idle = pool.idle["s-1"][0]
     assert idle.transport is not None and idle.is_usable(fallback=True)
-    idle.transport.pause_reading()  # the loop is too busy to see it
-    call.break_off()
+    idle.transport.pause_reading()  # stands for an event loop too busy to read the FIN
+    call.abort()
     await until(lambda: not idle.is_usable(fallback=True))
     await client.enqueue("m2", "unsafe")
     second = await field.host.next_call()
@@ -447,36 +452,40 @@
 
 
 @pytest.mark.parametrize("answered", [True, False], ids=["used before", "fresh"])
-async def test_call_that_breaks_on_a_connection_used_before_is_not_blamed_on_its_host(
+async def test_call_that_breaks_on_a_reused_connection_does_not_count_against_its_endpoint(
     field: Field, monkeypatch: pytest.MonkeyPatch, answered: bool
 ) -> None:
-    """The host had closed it while it stood idle, and its end is on its way: that is no sign of an outage."""
+    """The endpoint closed the idle connection and its FIN is under way: no sign of an outage."""
     assert connection_pool.STALE_CONNECTION_WINDOW <= 0.1
-    monkeypatch.setattr(connection_pool, "STALE_CONNECTION_WINDOW", 60.0)  # however slow the machine is
+    monkeypatch.setattr(
+        connection_pool, "STALE_CONNECTION_WINDOW", 60.0
+    )  # independent of the machine's speed
     client = await field.start()
     if answered:
-        await field.warm(client)
+        await field.warm_up(client)
     await client.enqueue("m1")
-    (await field.host.next_call()).break_off()
+    (await field.host.next_call()).abort()
     (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].held_messages)
-    dest, host = field.relays[0].pacer.endpoints["s-1"]
-    assert (dest.last_bad_outcome_at == 0) is answered and (host.failure_rate == 0.0) is answered
+    destination, endpoint_state = field.relays[0].pacer.endpoints["s-1"]
+    assert (destination.last_bad_outcome_at == 0) is answered and (
+        endpoint_state.failure_rate == 0.0
+    ) is answered
 
 
 @pytest.mark.parametrize(("error", "attempts"), [(ConnectionResetError, 1), (ConnectionRefusedError, 2)])
-async def test_connection_that_broke_as_it_came_up_is_opened_again_at_once(
+async def test_connection_reset_during_connect_is_reopened_at_once(
     field: Field, monkeypatch: pytest.MonkeyPatch, error: type[OSError], attempts: int
 ) -> None:
-    """Nothing of the call was sent, and a host that is down refuses."""
+    """Nothing of the call was sent. An endpoint that is down refuses, it does not reset."""
     client = await field.start()
     relay = field.relays[0]
-    really_open, failures = relay.connection_pool._open_connection, [error()]
+    open_connection, failures = relay.connection_pool._open_connection, [error()]
 
     async def fails_once(host: str, address: Address) -> connection_pool.Connection:
         if failures:
             raise failures.pop()
-        return await really_open(host, address)
+        return await open_connection(host, address)
 
     monkeypatch.setattr(relay.connection_pool, "_open_connection", fails_once)
     await client.enqueue("m1")
@@ -486,27 +495,27 @@
     await until(lambda: not relay.held_messages)
 
 
-async def test_idle_connections_go_with_a_call_that_timed_out(field: Field) -> None:
-    """A vanished machine resets them when it is back, and an unsafe message on one would die of it."""
+async def test_timed_out_call_closes_the_idle_connections_of_its_endpoint(field: Field) -> None:
+    """A machine that vanished resets them when it returns, and an unsafe message sent on one would fail."""
     client = await field.start()
-    await field.warm(client)
+    await field.warm_up(client)
     for ref in ("m1", "m2"):
         await client.enqueue(ref, "unsafe", d=400 if ref == "m2" else 8000)
     first, second = await field.host.next_call(), await field.host.next_call()
     first.answer(200)
-    net = field.relays[0].connection_pool
-    await until(lambda: any(net.idle.values()))
+    pool = field.relays[0].connection_pool
+    await until(lambda: any(pool.idle.values()))
     assert await field.platform.next_notice() == {"ref": second.headers["x-request-id"], "result": "dead"}
-    assert not net.open
+    assert not pool.open
 
 
-async def test_request_that_lies_unread_is_answered_before_a_draining_relay_closes(field: Field) -> None:
+async def test_unread_request_is_answered_before_a_draining_relay_closes(field: Field) -> None:
     client = await field.start()
     assert await client.ask("PING") == b"PONG"
     server = field.relays[0].server
     (connection,) = server.connections
     assert connection.transport is not None
-    connection.transport.pause_reading()  # the loop has not come to it yet
+    connection.transport.pause_reading()  # the event loop has not read it yet
     client.write("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", "x")
     await client.writer.drain()
     server.stop()
@@ -514,22 +523,22 @@
     assert await client.read() == b"OK" and await client.read() is None
 
 
-async def test_call_overtaken_while_its_connection_came_up_is_abandoned(field: Field) -> None:
-    """Connecting may take a second; a drain or a wait learned meanwhile holds for the call, and nothing of
-    it goes out."""
+async def test_call_that_may_no_longer_be_sent_after_connecting_is_abandoned(field: Field) -> None:
+    """Connecting may take a second. A drain or retry-after learned meanwhile applies to the call, and none of
+    its bytes are sent."""
     client = await field.start()
-    net, pacer = field.relays[0].connection_pool, field.relays[0].pacer
-    begin = net.start
+    pool, pacer = field.relays[0].connection_pool, field.relays[0].pacer
+    start_exchange = pool.start
 
-    def drained_meanwhile(exchange: connection_pool.Exchange) -> None:
-        begin(exchange)
+    def start_and_drain(exchange: connection_pool.Exchange) -> None:
+        start_exchange(exchange)
         pacer.endpoints[exchange.endpoint][1].available = False
 
-    net.start = drained_meanwhile  # type: ignore[method-assign]
+    pool.start = start_and_drain  # type: ignore[method-assign]
     await client.enqueue("m1", "unsafe")
     await until(lambda: pacer.messages["m1"].attempts == 1 and pacer.messages["m1"].call is None)
     assert field.relays[0].journal.entries["m1"].attempts == 0 and field.host.calls.empty()
-    net.start = begin  # type: ignore[method-assign]
+    pool.start = start_exchange  # type: ignore[method-assign]
     pacer.endpoints["s-1"][1].available = True
     field.relays[0]._enqueue_event(io.TimerExpired(0))
     (await field.host.next_call()).answer(200)
@@ -538,7 +547,7 @@
 # ---- discovery and notices
 
 
-async def test_watch_goes_on_from_the_last_index_and_tells_of_drains(field: Field) -> None:
+async def test_watch_continues_from_the_last_index_and_reports_drains(field: Field) -> None:
     client = await field.start()
     watch = await field.platform.next_watch()
     assert watch.call.line == "GET /api/targets?follow=1&since=41 HTTP/1.1"
@@ -550,26 +559,28 @@
     await client.enqueue("m1")
     (await other.next_call()).answer(200)
     assert field.host.calls.empty()
-    watch.call.break_off()
+    watch.call.abort()
     again = await field.platform.next_watch()
     assert again.call.line.split()[1].endswith("since=43")
     await other.stop()
 
 
-async def test_watch_that_ended_is_opened_again_where_the_pacer_asks_for_none(field: Field) -> None:
+async def test_ended_watch_is_reopened_where_the_pacer_does_not_subscribe(field: Field) -> None:
     field.facts["discovery"] = "automatic"
     await field.start()
     watch = await field.platform.next_watch()
     watch.line(listing(42, endpoint(field.host)))
     await until(lambda: field.relays[0].discovery.index == 42)
     for _ in range(2):
-        watch.call.break_off()
+        watch.call.abort()
         watch = await field.platform.next_watch()
         assert watch.call.line.split()[1].endswith("since=42")
 
 
-async def test_silent_watch_is_given_up(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine that vanished says nothing; lines come every 2 s while all is well."""
+async def test_silent_watch_is_closed_after_the_timeout(
+    field: Field, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A machine that vanished sends nothing; a healthy watch sends a line every 2 s."""
     assert 2 < discovery.SILENCE_TIMEOUT and discovery.SILENCE_TIMEOUT + discovery.RESPONSE_TIMEOUT < 6
     monkeypatch.setattr(discovery, "SILENCE_TIMEOUT", 0.1)
     await field.start()
@@ -577,17 +588,17 @@
     await field.platform.next_watch()
 
 
-async def test_notice_is_resent_until_it_is_taken(field: Field) -> None:
-    field.platform.refusals = 2
+async def test_notice_is_resent_until_it_is_acknowledged(field: Field) -> None:
+    field.platform.rejections = 2
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     (await field.host.next_call()).answer(500)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
     await until(lambda: field.relays[0].journal.entries == {})
-    assert field.platform.refusals == 0
+    assert field.platform.rejections == 0
 
 
-# ---- half an answer
+# ---- incomplete answers
 
 
 @pytest.mark.parametrize(
@@ -601,36 +612,36 @@
     ],
     ids=["429", "503", "504", "410", "chunk"],
 )
-async def test_answer_whose_rest_breaks_off_may_have_run(field: Field, head: bytes) -> None:
-    """Only a first line with 200 is taken as true without the rest."""
+async def test_answer_with_a_truncated_body_may_have_run(field: Field, head: bytes) -> None:
+    """Only a status line with 200 counts without the rest of the answer."""
     await answer_and_close(field, head)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
     assert field.host.calls.empty()
 
 
 @pytest.mark.parametrize("status", [429, 503, 504, 410])
-async def test_answer_whose_rest_never_comes_may_have_run(field: Field, status: int) -> None:
+async def test_answer_whose_body_never_arrives_may_have_run(field: Field, status: int) -> None:
     client = await field.start()
     await client.enqueue("m1", "unsafe", d=400)
-    (await field.host.next_call()).raw(
+    (await field.host.next_call()).send_raw(
         b"HTTP/1.1 %d No\r\nX-Backoff-Ms: 1\r\nContent-Length: 9\r\n\r\n" % status
     )
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
     assert field.host.calls.empty()
 
 
-async def test_wait_told_by_half_an_answer_binds_from_its_head_on(field: Field) -> None:
+async def test_retry_after_of_an_incomplete_answer_applies_from_its_head_on(field: Field) -> None:
     client = await field.start()
-    await field.warm(client)
+    await field.warm_up(client)
     await client.enqueue("m1")
     first = await field.host.next_call()
-    first.raw(b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 700\r\nContent-Length: 9\r\n\r\n")
-    told = time.monotonic()
-    dest = field.relays[0].pacer.routes[3][0]
-    await until(lambda: dest.retry_after_until > 0)
-    assert field.relays[0].held_messages["m1"].exchange is not None  # the rest may still come
+    first.send_raw(b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 700\r\nContent-Length: 9\r\n\r\n")
+    throttled_at = time.monotonic()
+    destination = field.relays[0].pacer.routes[3][0]
+    await until(lambda: destination.retry_after_until > 0)
+    assert field.relays[0].held_messages["m1"].exchange is not None  # the rest may still arrive
     await client.enqueue("m2")
-    first.break_off()
+    first.abort()
     for _ in range(2):
         await field.host.next_call()
-        assert time.monotonic() - told >= 0.69
+        assert time.monotonic() - throttled_at >= 0.69
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""What an earlier life took on and never sent gets a call before it is given up, counted on sockets."""
+"""Messages that a previous process accepted and never sent get a call before they end, counted on sockets."""
 
 from __future__ import annotations
 
@@ -18,88 +18,90 @@
 CLASSES = ["safe", "keyed", "unsafe"]
 
 
-def left_behind(field: Field, klass: str, number: int, d: int) -> set[str]:
-    """A journal as a kill leaves it: messages on record, none of them sent."""
+def write_journal(field: Field, class_name: str, count: int, d: int) -> set[str]:
+    """Write a journal as a kill leaves it: accepted messages, none of them sent."""
     journal = Journal(field.state, 3_000_000)
     deadline = monotonic_ms() + d
-    refs = {f"old{n}" for n in range(number)}
+    refs = {f"old{n}" for n in range(count)}
     for ref in sorted(refs):
-        assert journal.accept(JournalEntry(ref, klass, 3, "key-" + ref, deadline, b"x"))
+        assert journal.accept(JournalEntry(ref, class_name, 3, "key-" + ref, deadline, b"x"))
     journal.close()
     return refs
 
 
-class Tally:
-    """Counts the calls of each message, and answers as the test says."""
+class CallCounter:
+    """Counts the calls of each message and answers with a function of the test."""
 
     def __init__(self, field: Field, answer: Any) -> None:
         self.calls: Counter[str] = Counter()
         self.answer = answer
-        field.host.take = self.take  # type: ignore[method-assign]
+        field.host.on_call = self.on_call  # type: ignore[method-assign]
 
-    def take(self, call: Call) -> None:
-        if call.line.startswith("POST "):  # probes aside
+    def on_call(self, call: Call) -> None:
+        if call.line.startswith("POST "):  # not a health check
             self.calls[call.headers["x-request-id"]] += 1
             self.answer(call)
 
 
-@pytest.mark.parametrize("klass", CLASSES)
-async def test_each_gets_a_call_where_the_endpoint_hangs(field: Field, klass: str) -> None:
-    """Twelve, where eight calls may be out: one at a time, as in any trouble, most would get none."""
-    refs = left_behind(field, klass, 12, 5000)
-    field.facts["weightSource"] = "nominal"  # 50 calls a second: no partner that calls could push over
+@pytest.mark.parametrize("class_name", CLASSES)
+async def test_each_recovered_message_gets_a_call_where_the_endpoint_hangs(
+    field: Field, class_name: str
+) -> None:
+    """Twelve messages, eight calls in flight: one at a time, as in other outages, most would get none."""
+    refs = write_journal(field, class_name, 12, 5000)
+    field.facts["weightSource"] = "nominal"  # 50 calls a second: no destination that calls could overload
     for one in field.facts["classes"]:
         one["aim"] = 200_000_000
-    tally = Tally(field, lambda call: None)
+    counter = CallCounter(field, lambda call: None)
     await field.start()
     ended: set[str] = set()
     while len(ended) < len(refs):
         notice = await field.platform.next_notice()
-        assert tally.calls[notice["ref"]], f"{notice} with no call"
+        assert counter.calls[notice["ref"]], f"{notice} with no call"
         ended.add(notice["ref"])
-    assert ended == refs and max(tally.calls.values()) <= (1 if klass == "unsafe" else 6)
+    assert ended == refs and max(counter.calls.values()) <= (1 if class_name == "unsafe" else 6)
 
 
-@pytest.mark.parametrize("klass", CLASSES)
-async def test_each_is_delivered_beside_newcomers_with_a_short_deadline(field: Field, klass: str) -> None:
+@pytest.mark.parametrize("class_name", CLASSES)
+async def test_each_recovered_message_is_delivered_beside_new_messages(field: Field, class_name: str) -> None:
     field.facts["familyInfo"]["callsOut"] = 2
     field.facts["limits"]["mostHeld"] = 16
-    refs = left_behind(field, klass, 8, 6000)
-    tally = Tally(field, lambda call: call.answer(200))
+    refs = write_journal(field, class_name, 8, 6000)
+    counter = CallCounter(field, lambda call: call.answer(200))
     client = await field.start()
     held = field.relays[0].held_messages
-    for n in range(40):  # more than it may hold: some are refused, none of those that were here first
+    for n in range(40):  # more than the relay may hold: it rejects some of these, none of the recovered ones
         await client.enqueue(f"new{n}", "safe")
     await until(lambda: not refs & set(held))
-    assert {ref: tally.calls[ref] for ref in refs} == dict.fromkeys(refs, 1)
-    told = [field.platform.notices.get_nowait()["ref"] for _ in range(field.platform.notices.qsize())]
-    assert not refs & set(told)
+    assert {ref: counter.calls[ref] for ref in refs} == dict.fromkeys(refs, 1)
+    notified = [field.platform.notices.get_nowait()["ref"] for _ in range(field.platform.notices.qsize())]
+    assert not refs & set(notified)
 
 
-async def test_a_told_wait_is_kept_while_calls_are_owed(field: Field) -> None:
-    refs = left_behind(field, "unsafe", 3, 4000)
-    waits: list[float] = []
+async def test_retry_after_is_heeded_while_recovered_messages_await_a_call(field: Field) -> None:
+    refs = write_journal(field, "unsafe", 3, 4000)
+    called_at: list[float] = []
 
     def answer(call: Call) -> None:
-        waits.append(time.monotonic())
-        if len(waits) == 1:
+        called_at.append(time.monotonic())
+        if len(called_at) == 1:
             call.answer(429, "X-Backoff-Ms: 600")
         else:
             call.answer(200)
 
     field.facts["familyInfo"]["callsOut"] = 1
-    tally = Tally(field, answer)
+    counter = CallCounter(field, answer)
     await field.start()
     await until(lambda: not field.relays[0].held_messages)
-    assert waits[1] - waits[0] >= 0.59 and set(tally.calls) == refs
+    assert called_at[1] - called_at[0] >= 0.59 and set(counter.calls) == refs
 
 
-async def test_what_a_process_that_is_not_gone_yet_still_holds_is_taken_up_later(field: Field) -> None:
-    """No socket is inherited, so nobody stands beside us for long: it is about to end, or to be killed."""
+async def test_messages_of_a_previous_process_that_still_runs_are_acquired_later(field: Field) -> None:
+    """Without an inherited socket there is no upgrade: the previous process is about to exit or be killed."""
     before = Journal(field.state, 3_000_000)
     deadline = monotonic_ms() + 8000
-    for ref, klass in (("safe", "safe"), ("tried", "unsafe")):
-        assert before.accept(JournalEntry(ref, klass, 3, None, deadline, b"x"))
+    for ref, class_name in (("safe", "safe"), ("tried", "unsafe")):
+        assert before.accept(JournalEntry(ref, class_name, 3, None, deadline, b"x"))
     assert before.record_attempt_start("tried", "north", monotonic_ms())
     client = await field.start()
     assert await client.enqueue("new") == b"OK"
@@ -119,11 +121,11 @@
 
 
 @pytest.mark.parametrize("known", [True, False], ids=["not in the list", "no list"])
-async def test_relay_starts_with_a_message_whose_partner_it_does_not_know_yet(
+async def test_relay_starts_with_a_message_whose_destination_is_not_listed_yet(
     field: Field, known: bool
 ) -> None:
-    """The list in the configuration may be old, or unreadable: the message waits for the partner's entry."""
-    left_behind(field, "unsafe", 1, 8000)
+    """The configured list may be old or unreadable: the message called_at until its destination is listed."""
+    write_journal(field, "unsafe", 1, 8000)
     listed = endpoint(field.host)
     field.endpoints = [{**listed, "name": "s-9", "group": 9, **({} if known else {"status": "Unheard of"})}]
     client = await field.start()
@@ -137,41 +139,41 @@
     await until(lambda: not field.relays[0].held_messages)
 
 
-def trouble(relay: Relay) -> None:
-    """Two bad calls: an outage, one trial at a time."""
+def start_outage(relay: Relay) -> None:
+    """Fail two calls: an outage with one probe call at a time."""
     relay.turn(relay.message(SAFE), relay.message(SAFE))
     for send in relay.sends():
         relay.turn(relay.verdict(send.message_id, io.Status.TIMEOUT), after=50 * MS)
     assert relay.pacer.routes[1][0].in_outage
 
 
-def test_a_cold_partner_gets_owed_calls_at_its_own_pace_only() -> None:
+def test_recovering_destination_gets_recovered_messages_only_at_its_listed_rate() -> None:
     relay = Relay(entry("a", rate=4.0), uses_listed_rates=True)
-    trouble(relay)
+    start_outage(relay)
     relay.turn(*[recovered(f"r{n}", SAFE, time_left=15 * S) for n in range(6)])
     sent: dict[str, int] = {}
-    out: list[io.Send] = []
+    in_flight: list[io.Send] = []
     for _ in range(1490):
-        over = [send for send in out if send.deadline <= relay.now]
-        out = [send for send in out if send not in over]
-        relay.turn(*[relay.verdict(send.message_id, io.Status.TIMEOUT) for send in over], after=10 * MS)
-        out += relay.sends()
+        timed_out = [send for send in in_flight if send.deadline <= relay.now]
+        in_flight = [send for send in in_flight if send not in timed_out]
+        relay.turn(*[relay.verdict(send.message_id, io.Status.TIMEOUT) for send in timed_out], after=10 * MS)
+        in_flight += relay.sends()
         for send in relay.sends():
             sent.setdefault(send.message_id, relay.now)
     rules, listed = relay.settings.rules, 4.0 / relay.settings.relays
-    pace = rules.overload_multiple * rules.slow_start_initial_share * listed
+    max_rate = rules.overload_multiple * rules.slow_start_initial_share * listed
     assert {f"r{n}" for n in range(6)} <= set(sent)
-    times = sorted(at for call, at in sent.items() if call.startswith("r"))
+    times = sorted(at for message_id, at in sent.items() if message_id.startswith("r"))
     for first, last in zip(times, times[3:], strict=False):
-        assert 3 / ((last - first) / S) <= pace
+        assert 3 / ((last - first) / S) <= max_rate
 
 
-def test_owed_message_is_neither_shed_nor_handed_back_while_its_partner_is_shut() -> None:
+def test_recovered_message_is_not_rejected_while_its_destination_throttles() -> None:
     relay = Relay(entry("a"), limits={"max_held": 10})
     relay.turn(relay.message(SAFE))
     relay.turn(relay.verdict("m1", io.Status.FULL, wait=3 * S))
-    newcomers = [relay.message(SAFE, patience=2 * S) for _ in range(12)]
-    relay.turn(recovered("r", SAFE, time_left=4 * S), *newcomers)
+    new_messages = [relay.message(SAFE, patience=2 * S) for _ in range(12)]
+    relay.turn(recovered("r", SAFE, time_left=4 * S), *new_messages)
     assert "r" not in {a.message_id for a in relay.of(io.Reject)} and relay.of(io.Reject)
     sent = []
     for _ in range(45):
@@ -180,22 +182,22 @@
     assert "r" in sent
 
 
-def test_message_that_no_next_life_could_send_goes_before_the_end() -> None:
+def test_message_that_no_successor_could_send_is_sent_before_shutdown() -> None:
     relay = Relay(entry("a"))
-    # no call has been measured: the aim is 2 s
+    # no call has been measured: the target latency is 2 s
     relay.turn(io.ShutdownStarted(relay.now + 3 * S, relay.now + 5 * S))
     relay.turn(relay.message(UNSAFE, patience=4 * S), relay.message(UNSAFE, patience=20 * S), after=2 * S)
     assert [send.message_id for send in relay.sends()] == ["m1"]
 
 
-def test_right_to_send_that_is_passed_on_leaves_no_last_call() -> None:
+def test_no_last_call_after_the_right_to_send_is_handed_over() -> None:
     relay = Relay(entry("a"))
     relay.turn(io.ShutdownStarted(relay.now, relay.now), relay.message(UNSAFE, patience=S))
     assert relay.sends() == []
 
 
-def test_owed_message_is_not_held_to_its_end_by_our_own_pace() -> None:
-    """Refused without a wait, again and again: the ceiling and the rests would keep all but a few."""
+def test_rate_limit_and_backoff_do_not_hold_recovered_messages_until_their_deadline() -> None:
+    """Throttled repeatedly without retry-after: rate limit and backoff would hold all but a few messages."""
     relay = Relay(entry("a", rate=60.0), uses_listed_rates=True)
     relay.serve(3)
     for _ in range(4):
@@ -208,10 +210,12 @@
         relay.turn(*[relay.verdict(send.message_id, io.Status.FULL) for send in relay.sends()], after=10 * MS)
         sent |= {send.message_id for send in relay.sends()}
         ended |= {a.message_id for a in relay.of(io.Reject)} - sent
-    assert {f"r{n}" for n in range(20)} <= sent and not {call for call in ended if call.startswith("r")}
+    assert {f"r{n}" for n in range(20)} <= sent and not {
+        message_id for message_id in ended if message_id.startswith("r")
+    }
 
 
-def test_each_is_tried_once_before_any_twice_where_nothing_connects() -> None:
+def test_each_recovered_message_is_tried_once_before_any_is_retried() -> None:
     relay = Relay(entry("a", rate=40.0), uses_listed_rates=True)
     relay.turn(*[recovered(f"r{n}", SAFE, time_left=8 * S + n * MS) for n in range(20)])
     tried = [send.message_id for send in relay.sends()]
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -15,7 +15,7 @@
 
 from garnetrelay import clients, relay
 from tests.processes import Process
-from tests.sockets import PATIENCE, Client, Field, endpoint, listing, packed, until
+from tests.sockets import PATIENCE, Client, Field, endpoint, listing, encode_command, until
 
 # ---- floods
 
@@ -44,7 +44,7 @@
         again = await Client.connect(process.port)
     assert await again.enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
-    assert await process.end(signal.SIGTERM) == 0
+    assert await process.stop(signal.SIGTERM) == 0
     async with asyncio.timeout(PATIENCE):
         told = await log
     assert b"open files" not in told and b"Traceback" not in told
@@ -79,7 +79,9 @@
     other = await field.start()
     server = field.relays[0].server
     assert server.address is not None
-    noise = b"".join(packed("ENQUEUE", "0", f"n{n}", "c=none,d=8000,dest=3", "x") for n in range(20_000))
+    noise = b"".join(
+        encode_command("ENQUEUE", "0", f"n{n}", "c=none,d=8000,dest=3", "x") for n in range(20_000)
+    )
     _, writer = await asyncio.open_connection(*server.address)
     writer.write(noise)
     await until(lambda: writer.transport.get_write_buffer_size() < len(noise) // 2)
@@ -97,7 +99,7 @@
 ) -> None:
     """Tens of thousands of commands in a few reads: to answer them all takes the processor for seconds."""
     client = await field.start()
-    client.writer.write(packed(*words) * 20_000 + packed("PING"))
+    client.writer.write(encode_command(*words) * 20_000 + encode_command("PING"))
     answers = []
     while (answer := await client.read()) is not None:
         answers.append(answer)
@@ -206,7 +208,7 @@
     await client.enqueue("m1", "keyed")
     call = await field.host.next_call()
     await asyncio.sleep(0.35)
-    call.break_off()
+    call.abort()
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
     assert field.host.calls.empty()
 
@@ -231,11 +233,11 @@
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
-    call.raw(head)
+    call.send_raw(head)
     sent = 0
     while field.host.closed.empty():
         assert sent < 1 << 20  # it is given up for its size, long before its time is up
-        call.raw(more)
+        call.send_raw(more)
         sent += len(more)
         await asyncio.sleep(0.001)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
@@ -246,11 +248,11 @@
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
-    call.raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    call.send_raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     await until(lambda: not field.relays[0].held_messages)
     async with asyncio.timeout(PATIENCE):
         while field.host.closed.empty():
-            call.raw(b"1\r\nx\r\n")
+            call.send_raw(b"1\r\nx\r\n")
             await asyncio.sleep(0.01)
     assert not field.relays[0].connection_pool.open and field.platform.notices.empty()
 
@@ -258,12 +260,12 @@
 @pytest.mark.parametrize("status", [200, 500, 503])
 async def test_answer_in_single_bytes_behind_1xx_is_read_whole(field: Field, status: int) -> None:
     client = await field.start()
-    await field.warm(client)
+    await field.warm_up(client)
     await client.enqueue("m1", "safe")
     call = await field.host.next_call()
     answer = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
     for byte in answer + b"HTTP/1.1 %d Whatever\r\nContent-Length: 2\r\n\r\nok" % status:
-        call.raw(bytes([byte]))
+        call.send_raw(bytes([byte]))
         await asyncio.sleep(0)
     if status != 200:
         again = await field.host.next_call()
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -16,7 +16,7 @@
 from garnetrelay.streams import READ_SIZE
 from starlingwick import interface as io
 from tests.helpers import settings
-from tests.sockets import PATIENCE, packed
+from tests.sockets import PATIENCE, encode_command
 
 
 class Peer:
@@ -57,10 +57,10 @@
 async def test_client_that_is_read_costs_what_it_sent(peer: Peer, traced: None) -> None:
     server = Server(lambda request, reply: reply.accept(), 4)
     await asyncio.get_running_loop().sock_connect(peer.sock, await server.start("127.0.0.1", 0))
-    await peer.say(packed("PING"))
+    await peer.say(encode_command("PING"))
     assert await peer.hear() == b"+PONG\r\n"
     peak()
-    await peer.say(packed("ENQUEUE", "0", "m", "c=safe,d=8000,dest=3", bytes(2000)))
+    await peer.say(encode_command("ENQUEUE", "0", "m", "c=safe,d=8000,dest=3", bytes(2000)))
     assert await peer.hear() == b"+OK\r\n"
     assert 2000 < peak() < READ_SIZE
     server.stop()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -142,7 +142,7 @@
 ) -> None:
     """``poll`` may find no memory: an idle connection is not used then, and none is closed."""
     client = await field.start()
-    await field.warm(client)
+    await field.warm_up(client)
 
     class FailingPoll:
         def register(self, file: int, events: int) -> None: ...
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -12,7 +12,7 @@
 import pytest
 
 from garnetrelay.discovery import ListUpdate
-from tests.clock import play
+from tests.clock import run_with_simulated_clock
 from tests.sockets import Call, Client, Field, HttpServer, Platform, Watch, endpoint, listing
 
 TOLD = 6.0  # seconds after discovery had a change and could be reached
@@ -28,12 +28,12 @@
 
 
 def late_refusal(call: Call) -> None:
-    asyncio.get_running_loop().call_later(LATE, call.raw, REFUSAL)
+    asyncio.get_running_loop().call_later(LATE, call.send_raw, REFUSAL)
 
 
 FAILED: dict[str, list[Meeting]] = {
     "no listener": [],
-    "reset": [lambda call: call.break_off()],
+    "reset": [lambda call: call.abort()],
     "500": [lambda call: call.answer(500)],
     "200 and its end": [lambda call: call.answer(200)],
 }
@@ -44,8 +44,8 @@
 }
 GIVEN_UP: dict[str, list[Meeting]] = {
     "silence": [lambda call: None],
-    "half a head": [lambda call: call.raw(HEAD[:20])],
-    "no line": [lambda call: call.raw(HEAD)],
+    "half a head": [lambda call: call.send_raw(HEAD[:20])],
+    "no line": [lambda call: call.send_raw(HEAD)],
 }
 
 
@@ -65,14 +65,14 @@
         self.index = 41
         self.changes: list[dict[str, object]] = []
 
-    def take(self, call: Call) -> None:
+    def on_call(self, call: Call) -> None:
         if not call.line.startswith("GET "):
-            super().take(call)
+            super().on_call(call)
         elif self.down:
             self.meetings[self.met % len(self.meetings)](call)
             self.in_vain()
         else:
-            call.raw(HEAD)
+            call.send_raw(HEAD)
             watch = Watch(call)
             since = int(call.line.split()[1].partition("since=")[2])
             watch.line(listing(self.index, *self.changes) if since < self.index else "")
@@ -123,7 +123,7 @@
         super().__init__()
         self.times: list[float] = []
 
-    def take(self, call: Call) -> None:
+    def on_call(self, call: Call) -> None:
         if call.line.startswith("POST "):
             self.times.append(time.monotonic())
         call.answer(200)
@@ -230,21 +230,21 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """6 s after discovery had it and could be reached, whatever failed before."""
-    play(monkeypatch, side_by_side(tmp_path, FAILED))
+    run_with_simulated_clock(monkeypatch, side_by_side(tmp_path, FAILED))
 
 
 def test_change_is_told_within_6_s_behind_calls_that_discovery_refused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """6 s after discovery had it and could be reached, whatever it turned away before."""
-    play(monkeypatch, side_by_side(tmp_path, REFUSED))
+    run_with_simulated_clock(monkeypatch, side_by_side(tmp_path, REFUSED))
 
 
 def test_change_is_told_within_6_s_behind_calls_that_the_relay_gave_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """6 s after discovery had it and could be reached, though the last call stays open and silent."""
-    play(monkeypatch, side_by_side(tmp_path, GIVEN_UP))
+    run_with_simulated_clock(monkeypatch, side_by_side(tmp_path, GIVEN_UP))
 
 
 def test_change_is_told_within_6_s_behind_failures_of_all_kinds_in_a_row(
@@ -252,7 +252,7 @@
 ) -> None:
     """6 s after discovery had it and could be reached, with each failure of another kind than the last."""
     every = [one for kind in (GIVEN_UP, REFUSED, FAILED) for meetings in kind.values() for one in meetings]
-    play(
+    run_with_simulated_clock(
         monkeypatch,
         side_by_side(
             tmp_path, {f"all, from number {first} on": every[first:] + every[:first] for first in (0, 3, 6)}
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A second process beside the first: when it takes over, what it knows, and what neither does twice."""
+"""Tests of an upgrade: a successor starts beside the running process and takes over."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Pair:
-    """Two processes of one relay, and the platform's socket that both inherit."""
+    """Two processes of one relay and the listening socket of the platform that both inherit."""
 
     def __init__(self, field: Field) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0))
@@ -34,15 +34,15 @@
 
 @pytest_asyncio.fixture
 async def pair(field: Field) -> AsyncIterator[Pair]:
-    made = Pair(field)
-    yield made
-    for process in (made.old, made.new):
+    created = Pair(field)
+    yield created
+    for process in (created.old, created.new):
         if process.child is not None and process.child.returncode is None:
-            await process.end(signal.SIGKILL)
-    made.socket.close()
+            await process.stop(signal.SIGKILL)
+    created.socket.close()
 
 
-async def test_new_process_takes_over_and_none_is_sent_twice(field: Field, pair: Pair) -> None:
+async def test_new_process_takes_over_and_sends_nothing_twice(field: Field, pair: Pair) -> None:
     field.facts["familyInfo"]["callsOut"] = 1
     client = await pair.old.start()
     assert await client.enqueue("out") == b"OK"
@@ -55,11 +55,11 @@
     assert pair.old.child is not None
     pair.old.child.send_signal(signal.SIGTERM)
     assert await client.read() is None  # closed between requests
-    await pair.new.says("serves on")
+    await pair.new.wait_for_log("serves on")
     late = await pair.connect()
     assert await late.enqueue("new") == b"OK"
-    assert await late.enqueue("out") == b"OK"  # the old process has it: taken on already
-    assert field.host.calls.empty()  # the one slot is the old process's
+    assert await late.enqueue("out") == b"OK"  # the old process holds it: already accepted
+    assert field.host.calls.empty()  # the old process uses the only slot
     out.answer(200)
     async with asyncio.timeout(PATIENCE):
         assert await pair.old.child.wait() == 0
@@ -68,18 +68,20 @@
     calls.append(await field.host.next_call())
     calls[1].answer(200)
     assert {call.headers["x-request-id"] for call in calls} == {"waits", "new"}
-    assert await pair.new.end(signal.SIGTERM) == 0
+    assert await pair.new.stop(signal.SIGTERM) == 0
     assert field.host.calls.empty() and field.platform.notices.empty()
     assert dict(Ownership(field.state, 3_000_000, shared=True).entries) == {}
 
 
-async def test_new_process_takes_all_when_the_old_one_is_killed(field: Field, pair: Pair) -> None:
+async def test_new_process_takes_over_all_messages_when_the_old_one_is_killed(
+    field: Field, pair: Pair
+) -> None:
     client = await pair.old.start()
-    for ref, klass in (("k", "keyed"), ("u", "unsafe")):
-        assert await client.enqueue(ref, klass) == b"OK"
+    for ref, class_name in (("k", "keyed"), ("u", "unsafe")):
+        assert await client.enqueue(ref, class_name) == b"OK"
         await field.host.next_call()
     await pair.new.start("waiting for the process before us")
-    await pair.old.end(signal.SIGKILL)
+    await pair.old.stop(signal.SIGKILL)
     call = await field.host.next_call()
     assert call.headers["x-request-id"] == "k"
     call.answer(200)
@@ -87,61 +89,63 @@
     late = await pair.connect()
     assert await late.enqueue("m") == b"OK"
     (await field.host.next_call()).answer(200)
-    assert await pair.new.end(signal.SIGTERM) == 0
+    assert await pair.new.stop(signal.SIGTERM) == 0
 
 
-async def test_old_process_serves_on_when_the_new_one_dies(field: Field, pair: Pair) -> None:
+async def test_old_process_keeps_serving_when_the_new_one_dies(field: Field, pair: Pair) -> None:
     client = await pair.old.start()
     await pair.new.start("waiting for the process before us")
-    await pair.new.end(signal.SIGKILL)
+    await pair.new.stop(signal.SIGKILL)
     assert await client.enqueue("m") == b"OK"
     (await field.host.next_call()).answer(200)
-    assert await pair.old.end(signal.SIGTERM) == 0
+    assert await pair.old.stop(signal.SIGTERM) == 0
     assert sorted(path.name for path in field.state.iterdir() if path.stat().st_size) == ["journal"]
 
 
-async def out_at_the_old_process(field: Field, pair: Pair) -> Call:
-    """A call that the old process still has out, while the new one serves."""
+async def start_call_at_the_old_process(field: Field, pair: Pair) -> Call:
+    """Return a call that the old process still has in flight while the new one serves."""
     client = await pair.old.start()
     assert await client.enqueue("out") == b"OK"
     out = await field.host.next_call()
     await pair.new.start("waiting for the process before us")
     assert pair.old.child is not None
     pair.old.child.send_signal(signal.SIGTERM)
-    await pair.new.says("serves on")
+    await pair.new.wait_for_log("serves on")
     return out
 
 
-async def test_wait_told_to_the_old_process_binds_the_new_one(field: Field, pair: Pair) -> None:
-    out = await out_at_the_old_process(field, pair)
+async def test_retry_after_received_by_the_old_process_applies_to_the_new_one(
+    field: Field, pair: Pair
+) -> None:
+    out = await start_call_at_the_old_process(field, pair)
     assert pair.old.child is not None
     out.answer(429, "X-Backoff-Ms: 1500")
-    told = asyncio.get_running_loop().time()
+    throttled_at = asyncio.get_running_loop().time()
     async with asyncio.timeout(PATIENCE):
         assert await pair.old.child.wait() == 0
     late = await pair.connect()
     assert await late.enqueue("new") == b"OK"
     for _ in range(2):
         (await field.host.next_call()).answer(200)
-        assert asyncio.get_running_loop().time() >= told + 1.5
+        assert asyncio.get_running_loop().time() >= throttled_at + 1.5
 
 
-async def test_wait_told_by_half_an_answer_to_the_old_process_binds_the_new_one(
+async def test_retry_after_of_an_incomplete_answer_to_the_old_process_applies_to_the_new_one(
     field: Field, pair: Pair
 ) -> None:
-    """The rest never comes: without the head's own line the wait would be lost with the process."""
-    out = await out_at_the_old_process(field, pair)
-    out.raw(b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 1500\r\nContent-Length: 9\r\n\r\n")
-    told = asyncio.get_running_loop().time()
+    """The rest never arrives: without a line written for the head, the wait would be lost with the process."""
+    out = await start_call_at_the_old_process(field, pair)
+    out.send_raw(b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 1500\r\nContent-Length: 9\r\n\r\n")
+    throttled_at = asyncio.get_running_loop().time()
     await until(lambda: b'"told"' in (field.state / "handover").read_bytes())
     late = await pair.connect()
     assert await late.enqueue("new") == b"OK"
     (await field.host.next_call()).answer(200)
-    assert asyncio.get_running_loop().time() >= told + 1.49
+    assert asyncio.get_running_loop().time() >= throttled_at + 1.49
 
 
-async def test_calls_are_given_up_before_their_journal_is_free(field: Field) -> None:
-    """With the journal's lock gone, the other process may send at once: no turn of the loop lies between."""
+async def test_calls_are_aborted_before_their_journal_is_released(field: Field) -> None:
+    """Once the journal lock is released, the other process may send at once, before the event loop runs."""
     client = await field.start()
     assert await client.enqueue("out") == b"OK"
     call = await field.host.next_call()
@@ -152,26 +156,26 @@
     assert poll.poll(0)
 
 
-def test_learned_waits_and_ceilings_go_on_in_another_pacer() -> None:
+def test_retry_after_and_rate_limit_continue_in_another_pacer() -> None:
     old = Relay(entry("a"), entry("b", dest=2))
     old.serve(5)
     old.turn(*[old.message() for _ in range(6)], after=S)
     old.try_all(io.Status.FULL, 4)
     old.turn(old.message(dest=2))
     old.turn(old.verdict(old.sends()[0].message_id, io.Status.FULL, wait=3 * S))
-    ceiling = old.pacer.routes[1][0].rate_limit
-    assert ceiling is not None
+    rate_limit = old.pacer.routes[1][0].rate_limit
+    assert rate_limit is not None
     new = Relay(entry("a"), entry("b", dest=2), seed=8)
     new.now = old.now
     new.turn(io.PredecessorState(json.loads(json.dumps(old.pacer.handover_state()))))
-    assert new.pacer.routes[1][0].rate_limit == ceiling
+    assert new.pacer.routes[1][0].rate_limit == rate_limit
     new.turn(new.message(dest=2))
     assert not new.sends()
     new.turn(after=2900 * MS)
     assert not new.sends()
 
 
-def test_overheard_wait_and_calls_elsewhere_hold_back_sends() -> None:
+def test_retry_after_and_calls_of_the_predecessor_delay_sends() -> None:
     new = Relay(entry("a"), max_calls=2)
     new.turn(io.PredecessorCalls(2))
     new.turn(new.message())
@@ -186,7 +190,7 @@
     assert len(new.sends()) == 1
 
 
-def test_no_call_begins_once_the_right_to_send_is_passed_on() -> None:
+def test_no_call_starts_after_the_right_to_send_is_handed_over() -> None:
     old = Relay(entry("a"))
     old.turn(old.message())
     [send] = old.sends()
@@ -195,9 +199,9 @@
     assert not old.sends() and not old.pacer.may_send(old.now, send.message_id, "a")
 
 
-def test_what_another_version_learned_is_taken_as_far_as_it_is_known() -> None:
-    """An upgrade's two processes may differ in what they keep: no fact more or less ends a turn in an
-    error."""
+def test_hand_over_of_another_version_is_used_as_far_as_it_is_understood() -> None:
+    """The processes of an upgrade may keep different facts: no unknown or missing fact causes an error in a
+    planning pass."""
     old, new = Relay(entry("a")), Relay(entry("a"))
     old.turn(old.message())
     old.turn(old.verdict("m1", io.Status.FULL, wait=5 * S))
@@ -208,6 +212,10 @@
     new.turn(io.PredecessorState(facts))
     facts["hosts"]["a"] = facts["hosts"]["a"][:2]
     new.turn(io.PredecessorState(facts))
-    (dest,) = new.pacer.routes[1]
-    assert dest.retry_after_until == old.pacer.routes[1][0].retry_after_until
-    assert [host.name for host in dest.endpoints] == ["a"] and not dest.calls and not hasattr(dest, "weather")
+    (destination,) = new.pacer.routes[1]
+    assert destination.retry_after_until == old.pacer.routes[1][0].retry_after_until
+    assert (
+        [endpoint.name for endpoint in destination.endpoints] == ["a"]
+        and not destination.calls
+        and not hasattr(destination, "weather")
+    )
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -55,7 +55,7 @@
     assert again.call.line.split()[1].endswith("since=0")
     again.line(listing(43, endpoint(field.host), endpoint(field.host, "s-2"), snapshot=True))
     await until(lambda: set(field.relays[0].catalog) == {"s-1", "s-2"})
-    again.call.break_off()
+    again.call.abort()
     assert (await field.platform.next_watch()).call.line.split()[1].endswith("since=43")
 
 
@@ -94,7 +94,7 @@
     await field.start()
     one = field.relays[0]
     watch = await field.platform.next_watch()
-    watch.call.break_off()
+    watch.call.abort()
     await until(lambda: one.discovery.task is None)
     one.pacer.subscribe_at = one.pacer.now + 3600 * 10**9
     moved = Platform()
@@ -114,7 +114,7 @@
     moved = Platform()
     await moved.start()
     task = one.discovery.task
-    old.call.break_off()
+    old.call.abort()
     assert task is not None
     await asyncio.wait([task])  # over, and nobody has heard of it yet
     one.change_discovery_address(type(one.config.discovery).parse(moved.address))
@@ -179,7 +179,7 @@
     field: Field,
 ) -> None:
     client = await field.start()
-    await field.warm(client)
+    await field.warm_up(client)
     one = field.relays[0]
     watch = await field.platform.next_watch()
     other = HttpServer()
@@ -238,7 +238,7 @@
     """An endpoint that was started anew kept none of them, and may not have said so."""
     client = await field.start()
     watch = await field.platform.next_watch()
-    await field.warm(client)
+    await field.warm_up(client)
     net = field.relays[0].connection_pool
     await until(lambda: any(net.idle.values()))
     watch.line(listing(42, {**endpoint(field.host), "since_ms": 1_764_000_000_000}))
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -25,7 +25,7 @@
         self.at: dict[str, list[float]] = {}
         self.calls: list[Call] = []
         self.status = 0  # of each answer; 0: none
-        field.host.take = self.take  # type: ignore[method-assign]
+        field.host.on_call = self.take  # type: ignore[method-assign]
 
     def take(self, call: Call) -> None:
         if not call.line.startswith("POST "):
@@ -63,7 +63,7 @@
 
 
 async def another_life(process: Process, number: signal.Signals, away: float) -> None:
-    await process.end(number)
+    await process.stop(number)
     await asyncio.sleep(away)
     await process.start()
 
@@ -125,7 +125,7 @@
     """The endpoint answers the process that is gone; the next one learns nothing of it."""
     short_window(field, "all")
     sends, _ = await begin(field, process, "keyed", "unsafe")
-    await process.end(signal.SIGKILL)
+    await process.stop(signal.SIGKILL)
     for call in sends.calls:
         call.answer(200)
     await asyncio.sleep(AWAY)
@@ -145,7 +145,7 @@
     field.facts["weightSource"] = "nominal"  # 50 calls a second: one that broke is no reason to wait for long
     sends, client = await begin(field, process, "keyed")
     sends.status = 200
-    sends.calls[0].break_off()
+    sends.calls[0].abort()
     await until(lambda: sends.count("keyed") == 2)
     sends.none_late()
     assert await client.enqueue("next", "keyed") == b"OK"
