--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -1,4 +1,4 @@
-"""The lasting folder fails for a while: what was taken on is still owed, and what has ended stays ended."""
+"""The state folder fails temporarily: accepted messages are kept and finished messages stay finished."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 ERRORS = [errno.ENOSPC, errno.EIO, errno.EDQUOT]
 
 
-def entry(ref: str, klass: str = "unsafe", patience_ms: int = 60_000) -> JournalEntry:
-    return JournalEntry(ref, klass, 3, "k", monotonic_ms() + patience_ms, b"body")
+def entry(ref: str, class_name: str = "unsafe", time_left_ms: int = 60_000) -> JournalEntry:
+    return JournalEntry(ref, class_name, 3, "k", monotonic_ms() + time_left_ms, b"body")
 
 
-@pytest.mark.parametrize("number", ERRORS)
-def test_message_that_ended_while_the_disk_was_full_does_not_come_back(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int
+@pytest.mark.parametrize("error_number", ERRORS)
+def test_message_finished_while_the_disk_fails_is_not_recovered(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error_number: int
 ) -> None:
     journal = Journal(tmp_path, DISK)
     for ref in ("bounced", "told"):
         assert journal.accept(entry(ref))
     journal.record_finish("told", "dead")
-    disk = FailingDisk(monkeypatch, number, ("write",))
+    disk = FailingDisk(monkeypatch, error_number, ("write",))
     journal.record_finish("bounced", "bounced", 500)
     journal.record_notified("told")
     disk.failing = False
@@ -46,7 +46,7 @@
     assert "told" not in entries
 
 
-def test_attempt_that_could_not_be_recorded_was_never_made(
+def test_attempt_that_cannot_be_journaled_is_not_counted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = Journal(tmp_path, DISK)
@@ -59,24 +59,24 @@
     assert journal.entries["m1"].attempts == 1
 
 
-@pytest.mark.parametrize("cut_fails", [False, True])
-def test_half_a_record_hides_none_behind_it(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cut_fails: bool
+@pytest.mark.parametrize("truncate_fails", [False, True])
+def test_partially_written_record_hides_no_later_record(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, truncate_fails: bool
 ) -> None:
-    """The disk takes a part of a record, then nothing; the part cannot be cut off at once, or it can."""
+    """The disk writes a part of a record, then nothing. The part can be truncated at once, or it cannot."""
     journal = Journal(tmp_path, DISK)
     assert journal.accept(entry("before"))
-    write, written = os.write, [0]
+    write, writes = os.write, [0]
 
-    def half(file: int, data: Any) -> int:
-        written[0] += 1
-        if written[0] > 1:
+    def write_partially(file: int, data: Any) -> int:
+        writes[0] += 1
+        if writes[0] > 1:
             raise OSError(errno.ENOSPC, "No space left on device")
         return write(file, bytes(data)[:20])
 
     with monkeypatch.context() as patch:
-        patch.setattr(os, "write", half)
-        if cut_fails:
+        patch.setattr(os, "write", write_partially)
+        if truncate_fails:
             FailingDisk(patch, errno.EIO, ("ftruncate",))
         assert not journal.accept(entry("refused"))
         assert not journal.has_room(100)
@@ -86,13 +86,13 @@
     assert list(Journal(tmp_path, DISK).entries) == ["before", "after"]
 
 
-@pytest.mark.parametrize("number", ERRORS)
-def test_trouble_with_the_disk_is_said_once_and_its_end_too(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, number: int
+@pytest.mark.parametrize("error_number", ERRORS)
+def test_disk_failure_and_its_end_are_logged_once_each(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, error_number: int
 ) -> None:
     caplog.set_level("INFO")
     journal = Journal(tmp_path, DISK)
-    disk = FailingDisk(monkeypatch, number, ("write", "open"))
+    disk = FailingDisk(monkeypatch, error_number, ("write", "open"))
     for count in range(50):
         assert not journal.accept(entry(f"m{count}"))
     assert len(caplog.records) == 1 and disk.failed >= 50
@@ -101,7 +101,7 @@
     assert [record.levelname for record in caplog.records] == ["ERROR", "INFO"]
 
 
-def test_journal_that_comes_in_short_reads_is_read_whole(
+def test_journal_is_read_completely_through_short_reads(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = Journal(tmp_path, DISK)
@@ -113,7 +113,7 @@
     assert len(Journal(tmp_path, DISK).entries) == 20
 
 
-def test_torn_tail_that_cannot_be_cut_at_the_start_is_cut_before_anything_is_written(
+def test_torn_tail_that_cannot_be_truncated_at_startup_is_truncated_before_any_write(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = Journal(tmp_path, DISK)
@@ -129,11 +129,11 @@
     assert list(Journal(tmp_path, DISK).entries) == ["whole", "after"]
 
 
-# ---- a relay whose folder fails
+# ---- a relay whose state folder fails
 
 
-def on_record(field: Field, ref: str) -> JournalEntry | None:
-    """What a process that starts after a kill at this moment would find."""
+def journaled_entry(field: Field, ref: str) -> JournalEntry | None:
+    """Return the entry that a process would read that starts after a kill at this moment."""
     journal = field.relays[0].journal.own_journal
     assert journal is not None
     copy = field.folder / f"copy{time.monotonic_ns()}"
@@ -144,35 +144,35 @@
     return found.entries.get(ref)
 
 
-async def refused(client: Client, ref: str) -> int:
-    """The milliseconds after which a client that is turned away may come again."""
+async def enqueue_rejected(client: Client, ref: str) -> int:
+    """Enqueue a message that the relay rejects and return its wait in milliseconds."""
     answer = await client.enqueue(ref)
     assert isinstance(answer, str) and answer.startswith("BUSY "), answer
     return int(answer.split()[1])
 
 
-@pytest.mark.parametrize("number", ERRORS)
-async def test_notice_goes_out_once_its_end_is_on_record(
-    field: Field, monkeypatch: pytest.MonkeyPatch, number: int
+@pytest.mark.parametrize("error_number", ERRORS)
+async def test_notice_is_sent_only_after_the_finish_record_is_written(
+    field: Field, monkeypatch: pytest.MonkeyPatch, error_number: int
 ) -> None:
     client = await field.start()
     assert await client.enqueue("m1", "unsafe") == b"OK"
     call = await field.host.next_call()
-    disk = FailingDisk(monkeypatch, number, ("write",))
+    disk = FailingDisk(monkeypatch, error_number, ("write",))
     call.answer(500)
     await until(lambda: not field.relays[0].held_messages)
     await asyncio.sleep(0.5)
     assert field.platform.notices.empty()
     disk.failing = False
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
-    kept = on_record(field, "m1")
+    kept = journaled_entry(field, "m1")
     assert kept is None or kept.ended == "dead"
 
 
-async def test_notice_goes_out_in_time_though_the_disk_goes_on_failing(
+async def test_notice_is_sent_at_the_deadline_while_the_disk_keeps_failing(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """By then no later process could send the message again."""
+    """At its deadline no later process can send the message again."""
     client = await field.start()
     began = time.monotonic()
     assert await client.enqueue("m1", "unsafe", d=1500) == b"OK"
@@ -183,7 +183,7 @@
     assert 1.45 < time.monotonic() - began < 1.8
 
 
-async def test_while_the_disk_fails_messages_are_refused_with_a_wait_and_none_is_sent(
+async def test_messages_are_rejected_with_a_wait_and_none_is_sent_while_the_disk_fails(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     field.facts["limits"].update(retryAfter=True, maxRetryAfter=3 * 10**9)
@@ -191,7 +191,7 @@
     await field.warm_up(client)
     disk = FailingDisk(monkeypatch, errno.ENOSPC, ("write", "open"))
     for count in range(20):
-        assert 0 < await refused(client, f"refused{count}") <= 3000
+        assert 0 < await enqueue_rejected(client, f"refused{count}") <= 3000
     assert field.host.calls.empty() and not field.relays[0].held_messages
     disk.failing = False
     await until(lambda: not field.relays[0].journal.failing)
@@ -199,21 +199,21 @@
     (await field.host.next_call()).answer(200)
 
 
-async def test_message_whose_attempt_cannot_be_recorded_goes_out_when_the_disk_is_well(
+async def test_message_whose_attempt_cannot_be_journaled_is_sent_when_the_disk_works_again(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     client = await field.start()
     await field.warm_up(client)
     write, left = os.write, [1]
 
-    def takes_one_record(file: int, data: Any) -> int:
+    def write_one_record(file: int, data: Any) -> int:
         left[0] -= 1
         if left[0] < 0:
             raise OSError(errno.EIO, "Input/output error")
         return write(file, data)
 
     with monkeypatch.context() as patch:
-        patch.setattr(os, "write", takes_one_record)
+        patch.setattr(os, "write", write_one_record)
         assert await client.enqueue("m1", "unsafe") == b"OK"
         await asyncio.sleep(0.5)
         assert field.host.calls.empty() and "m1" in field.relays[0].held_messages
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("calls", [("open",), ("pread",), ("open", "unlink", "ftruncate"), ("listdir",)])
-async def test_start_while_the_folder_fails_serves_and_picks_up_what_is_there_later(
+async def test_relay_starts_while_the_folder_fails_and_recovers_its_messages_later(
     field: Field, monkeypatch: pytest.MonkeyPatch, calls: tuple[str, ...]
 ) -> None:
     before = Journal(field.state, DISK)
@@ -260,10 +260,10 @@
     assert [path.name for path in tmp_path.iterdir()] == ["journal.1"]
 
 
-# ---- what a process leaves for its successor
+# ---- the hand-over to a successor
 
 
-def test_hand_over_that_the_disk_takes_in_pieces_comes_whole(
+def test_hand_over_written_in_short_writes_is_complete(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old, new = Handover(tmp_path, 100_000), Handover(tmp_path, 100_000)
@@ -275,21 +275,21 @@
     assert new.acquire() and new.read() == [{"learned": {"hosts": {}}, "out": 1}, {"told": "s-1", "wait": 5}]
 
 
-@pytest.mark.parametrize("number", ERRORS)
-def test_line_of_the_hand_over_that_failed_spoils_none_behind_it(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int
+@pytest.mark.parametrize("error_number", ERRORS)
+def test_failed_line_of_the_hand_over_corrupts_no_later_line(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error_number: int
 ) -> None:
     old, new = Handover(tmp_path, 100_000), Handover(tmp_path, 100_000)
     assert old.acquire()
     old.release({"learned": {}, "out": 1})
     write, failing = os.write, [True]
 
-    def half(file: int, data: Any) -> int:
+    def write_partially(file: int, data: Any) -> int:
         if failing[0] and len(data) < 10:
-            raise OSError(number, os.strerror(number))
+            raise OSError(error_number, os.strerror(error_number))
         return write(file, bytes(data)[: len(data) - 5] if failing[0] else data)
 
-    monkeypatch.setattr(os, "write", half)
+    monkeypatch.setattr(os, "write", write_partially)
     old.append_line({"told": "s-1", "wait": 5})
     failing[0] = False
     old.append_line({"told": "s-2", "wait": 6})
@@ -299,7 +299,7 @@
 
 
 @pytest.mark.parametrize("calls", [("open",), ("read",), ("unlink",)])
-def test_hand_over_that_fails_ends_nothing(
+def test_hand_over_error_is_tolerated_and_retried(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, calls: tuple[str, ...]
 ) -> None:
     old = Handover(tmp_path, 100_000)
@@ -307,9 +307,9 @@
     old.release({"learned": {}, "out": 0})
     disk = FailingDisk(monkeypatch, errno.EIO, calls)
     new = Handover(tmp_path, 100_000)
-    taken = new.acquire()
+    acquired = new.acquire()
     assert new.read() == [] or calls == ("unlink",)
     new.discard()
     disk.failing = False
-    assert taken or new.acquire()
+    assert acquired or new.acquire()
     assert calls == ("unlink",) or new.read() == [{"learned": {}, "out": 0}]
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -124,7 +124,7 @@
 async def test_relay_starts_with_a_message_whose_destination_is_not_listed_yet(
     field: Field, known: bool
 ) -> None:
-    """The configured list may be old or unreadable: the message called_at until its destination is listed."""
+    """The configured list may be old or unreadable: the message waits until its destination is listed."""
     write_journal(field, "unsafe", 1, 8000)
     listed = endpoint(field.host)
     field.endpoints = [{**listed, "name": "s-9", "group": 9, **({} if known else {"status": "Unheard of"})}]
@@ -147,7 +147,7 @@
     assert relay.pacer.routes[1][0].in_outage
 
 
-def test_recovering_destination_gets_recovered_messages_only_at_its_listed_rate() -> None:
+def test_recovering_destination_gets_recovered_messages_only_at_its_slow_start_rate() -> None:
     relay = Relay(entry("a", rate=4.0), uses_listed_rates=True)
     start_outage(relay)
     relay.turn(*[recovered(f"r{n}", SAFE, time_left=15 * S) for n in range(6)])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -133,7 +133,7 @@
 async def test_retry_after_of_an_incomplete_answer_to_the_old_process_applies_to_the_new_one(
     field: Field, pair: Pair
 ) -> None:
-    """The rest never arrives: without a line written for the head, the wait would be lost with the process."""
+    """The rest never arrives: without a line for the head the process would lose the wait."""
     out = await start_call_at_the_old_process(field, pair)
     out.send_raw(b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 1500\r\nContent-Length: 9\r\n\r\n")
     throttled_at = asyncio.get_running_loop().time()
