--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""What ``build`` leaves for a service that cannot write to the tree."""
+"""Tests of the build command for a service that cannot write to its source tree."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def test_build_leaves_the_bytecode_of_every_module(tmp_path: Path) -> None:
-    """Else each start compiles them all anew, and the processor's time is the relay's."""
+    """Without it each start compiles all modules again, on the processor time of the relay."""
     for package in ("garnetrelay", "starlingwick"):
         shutil.copytree(ROOT / package, tmp_path / package, ignore=shutil.ignore_patterns("__pycache__"))
-    python = tmp_path / ".venv/bin/python"  # stands for a venv that is there already
+    python = tmp_path / ".venv/bin/python"  # stands for an existing venv
     python.parent.mkdir(parents=True)
     python.symlink_to(sys.executable)
     with (ROOT / "deploy/balancer.toml").open("rb") as file:
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""The list as it is held, read and kept: encode_command, entry by entry, and on the disk."""
+"""Tests of the endpoint list: the packed catalog, the incremental parser and the cache on disk."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 RUNNING, STOPPING, DELETED = io.Availability.RUNNING, io.Availability.STOPPING, io.Availability.DELETED
 
 
-def one(name: str, dest: int = 3, availability: io.Availability = RUNNING, port: int = 6379) -> Endpoint:
+def entry(name: str, dest: int = 3, availability: io.Availability = RUNNING, port: int = 6379) -> Endpoint:
     return Endpoint(name, dest, 1, 0, availability, 20.5, 1_764_000_000_000, Address("127.0.0.1", port))
 
 
@@ -41,7 +41,7 @@
 
 
 ENDPOINTS = st.builds(
-    one,
+    entry,
     st.sampled_from(["a", "b", "c", "é" * 9]),
     st.integers(1, 4),
     st.sampled_from([RUNNING, STOPPING, DELETED]),
@@ -50,14 +50,14 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.lists(ENDPOINTS, max_size=6)), max_size=6))
-def test_catalog_holds_what_a_plain_table_would(news: list[tuple[bool, list[Endpoint]]]) -> None:
+def test_catalog_matches_a_dictionary(updates: list[tuple[bool, list[Endpoint]]]) -> None:
     catalog, table = Catalog(), dict[str, Endpoint]()
-    for version, (whole, endpoints) in enumerate(news):
+    for version, (whole, endpoints) in enumerate(updates):
         before = {dest: catalog.find(dest) for dest in range(1, 5)}
         touched = committed(catalog, version, whole, *endpoints)
         if whole:
             table = {}
-        last = {each.name: each for each in endpoints}  # named twice: the last one counts
+        last = {each.name: each for each in endpoints}  # the last entry of a name counts
         table |= last
         table = {name: each for name, each in table.items() if each.availability is not DELETED}
         for dest in range(1, 5):
@@ -73,29 +73,29 @@
         assert all(catalog.destination(name) == each.destination for name, each in table.items())
 
 
-def test_destination_that_was_listed_once_is_not_unknown() -> None:
+def test_destination_listed_once_stays_known() -> None:
     catalog = Catalog()
-    committed(catalog, 1, True, one("a"))
-    committed(catalog, 2, False, one("a", availability=DELETED))
+    committed(catalog, 1, True, entry("a"))
+    committed(catalog, 2, False, entry("a", availability=DELETED))
     assert catalog.find(3) == [] and catalog.knows(3) and not catalog.knows(4)
 
 
-def test_entry_that_does_not_fit_is_not_taken_over() -> None:
+def test_entry_that_does_not_fit_is_rejected() -> None:
     with pytest.raises(ValueError):
-        Catalog().stage().add(one("a" * 70_000))
+        Catalog().stage().add(entry("a" * 70_000))
 
 
-# ---- read entry by entry
+# ---- incremental parsing
 
 
-class Names:
-    """What the reader needs of a configuration."""
+class ParserConfig:
+    """The configuration values that the parser uses."""
 
     zone_names, kind_names, memory_bytes = ("north", "south"), ("plain",), 64_000_000
 
 
 def reader(catalog: Catalog) -> EntryParser:
-    return EntryParser(Names, catalog.stage)  # type: ignore[arg-type]
+    return EntryParser(ParserConfig, catalog.stage)  # type: ignore[arg-type]
 
 
 def lines(count: int, **facts: Any) -> list[dict[str, Any]]:
@@ -115,7 +115,7 @@
     ]
 
 
-def pieces(data: bytes, seed: int) -> Iterator[bytes]:
+def chunks(data: bytes, seed: int) -> Iterator[bytes]:
     draw = random.Random(seed)
     at = 0
     while at < len(data):
@@ -126,9 +126,8 @@
 
 @pytest.mark.parametrize("indent", [None, 0, 2])
 @pytest.mark.parametrize("seed", range(3))
-def test_object_too_long_to_keep_is_read_as_it_comes(indent: int | None, seed: int) -> None:
-    """In pieces of any size, indented or not, with objects before and behind it, whatever its values'
-    order."""
+def test_object_too_long_to_buffer_is_parsed_incrementally(indent: int | None, seed: int) -> None:
+    """In chunks of any size, indented or not, between other objects, with its values in any order."""
     entries = lines(1500)
     small = listing(1, endpoint_line("x"))
     long = json.dumps(
@@ -138,9 +137,9 @@
     data = "\n".join(["", small, "", long, "", small, ""]).encode()
     catalog = Catalog()
     feed = LineReader(reader(catalog))
-    news = [each for piece in pieces(data, seed) for each in feed.feed(piece)]
-    assert [(each.index, each.whole) for each in news] == [(1, False), (42, True), (1, False)]
-    catalog.commit(news[1].staged, 42, True)
+    updates = [each for chunk in chunks(data, seed) for each in feed.feed(chunk)]
+    assert [(each.index, each.whole) for each in updates] == [(1, False), (42, True), (1, False)]
+    catalog.commit(updates[1].staged, 42, True)
     assert set(catalog) == {line["name"] for line in entries}
     assert feed.large_object is None and not feed.partial_line and not feed.object_lines
 
@@ -150,7 +149,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         lambda text: text.replace('"e-1400"', "e-1400"),
         lambda text: text[:-40],
@@ -178,15 +177,15 @@
         "number",
     ],
 )
-def test_long_object_that_cannot_be_read_is_an_error_by_the_next_empty_line(spoil: Any) -> None:
-    text = spoil(json.dumps({"index": 42, "snapshot": True, "endpoints": lines(1500)}))
+def test_malformed_long_object_raises_by_the_next_empty_line(corrupt: Any) -> None:
+    text = corrupt(json.dumps({"index": 42, "snapshot": True, "endpoints": lines(1500)}))
     data = (text if isinstance(text, bytes) else text.encode()) + b"\n\n"
     with pytest.raises(ValueError):
         feed = LineReader(reader(Catalog()))
-        assert [each for piece in pieces(data, 1) for each in feed.feed(piece)] == []
+        assert [each for chunk in chunks(data, 1) for each in feed.feed(chunk)] == []
 
 
-def test_list_that_would_take_half_of_the_memory_is_an_error() -> None:
+def test_list_over_its_memory_limit_raises() -> None:
     small = reader(Catalog())
     small.max_staged_bytes = 50_000
     with pytest.raises(ValueError, match="50000 bytes"):
@@ -197,78 +196,84 @@
         )
 
 
-# ---- kept on the disk
+# ---- the cache on disk
 
 
-def kept_list(folder: Path, most: int = 10_000_000, zones: tuple[str, ...] = ("n", "s")) -> EndpointCache:
-    return EndpointCache(folder, most, zones, ("plain",))
+def open_cache(
+    folder: Path, max_bytes: int = 10_000_000, zones: tuple[str, ...] = ("n", "s")
+) -> EndpointCache:
+    return EndpointCache(folder, max_bytes, zones, ("plain",))
 
 
-async def keep(kept: EndpointCache, catalog: Catalog, changed: set[int], whole: bool) -> None:
-    kept.store(catalog, changed, whole)
-    if kept.rewrite_task is not None:
-        await kept.rewrite_task
+async def store(cache: EndpointCache, catalog: Catalog, changed: set[int], whole: bool) -> None:
+    cache.store(catalog, changed, whole)
+    if cache.rewrite_task is not None:
+        await cache.rewrite_task
 
 
 def content(catalog: Catalog) -> dict[int, list[Endpoint]]:
     return {dest: catalog.find(dest) for dest in catalog.packed}
 
 
-async def test_kept_list_comes_back_with_its_changes(tmp_path: Path) -> None:
-    catalog, kept = Catalog(), kept_list(tmp_path)
-    await keep(kept, catalog, committed(catalog, 7, True, *(one(f"s{n}", n) for n in range(2000))), True)
-    await keep(kept, catalog, committed(catalog, 8, False, one("s1", 1, DELETED), one("new", 5000)), False)
-    await keep(kept, catalog, committed(catalog, 9, False, one("s2", 2, STOPPING)), False)
-    kept.close()
-    again, restored = kept_list(tmp_path), Catalog()
-    assert not again.load(Catalog(), known=9)  # the configuration names one as new
+async def test_cached_list_is_loaded_with_its_deltas(tmp_path: Path) -> None:
+    catalog, cache = Catalog(), open_cache(tmp_path)
+    await store(cache, catalog, committed(catalog, 7, True, *(entry(f"s{n}", n) for n in range(2000))), True)
+    await store(
+        cache, catalog, committed(catalog, 8, False, entry("s1", 1, DELETED), entry("new", 5000)), False
+    )
+    await store(cache, catalog, committed(catalog, 9, False, entry("s2", 2, STOPPING)), False)
+    cache.close()
+    again, restored = open_cache(tmp_path), Catalog()
+    assert not again.load(Catalog(), known=9)  # the configuration has a list of the same version
     assert again.load(restored, known=8)
     assert restored.version == 9 and content(restored) == content(catalog) and restored.draining == 1
     again.close()
 
 
-async def test_change_that_comes_while_the_list_is_written_is_in_it(tmp_path: Path) -> None:
-    catalog, kept = Catalog(), kept_list(tmp_path)
-    kept.store(catalog, committed(catalog, 7, True, *(one(f"s{n}", n) for n in range(2000))), True)
+async def test_delta_during_a_rewrite_is_stored(tmp_path: Path) -> None:
+    catalog, cache = Catalog(), open_cache(tmp_path)
+    cache.store(catalog, committed(catalog, 7, True, *(entry(f"s{n}", n) for n in range(2000))), True)
     await asyncio.sleep(endpoint_cache.CHUNK_PAUSE)
-    for version, change in enumerate([one("s1", 1, DELETED), one("s1999", 1999, DELETED), one("x", 9)], 8):
-        kept.store(catalog, committed(catalog, version, False, change), False)
-    assert kept.rewrite_task is not None
-    await kept.rewrite_task
+    for version, change in enumerate(
+        [entry("s1", 1, DELETED), entry("s1999", 1999, DELETED), entry("x", 9)], 8
+    ):
+        cache.store(catalog, committed(catalog, version, False, change), False)
+    assert cache.rewrite_task is not None
+    await cache.rewrite_task
     restored = Catalog()
-    assert kept.load(restored, known=0)
+    assert cache.load(restored, known=0)
     assert restored.version == 10 and content(restored) == content(catalog)
-    kept.close()
+    cache.close()
 
 
-async def test_kept_list_is_written_anew_when_its_changes_outgrow_it(tmp_path: Path) -> None:
-    catalog, kept = Catalog(), kept_list(tmp_path)
-    await keep(kept, catalog, committed(catalog, 1, True, one("a")), True)
+async def test_cached_list_is_rewritten_when_its_deltas_outgrow_it(tmp_path: Path) -> None:
+    catalog, cache = Catalog(), open_cache(tmp_path)
+    await store(cache, catalog, committed(catalog, 1, True, entry("a")), True)
     for version in range(2, 2500):
-        await keep(kept, catalog, committed(catalog, version, False, one("a", port=version)), False)
+        await store(cache, catalog, committed(catalog, version, False, entry("a", port=version)), False)
         assert (tmp_path / "list").stat().st_size < 2 * endpoint_cache.MIN_REWRITE_BYTES
     restored = Catalog()
-    assert kept.load(restored, known=0) and content(restored) == content(catalog)
-    kept.close()
+    assert cache.load(restored, known=0) and content(restored) == content(catalog)
+    cache.close()
 
 
 @pytest.mark.parametrize("at", range(0, 100, 9))
-async def test_damage_anywhere_is_noticed_or_an_earlier_version(
+async def test_damage_anywhere_is_detected_or_loads_an_earlier_version(
     tmp_path: Path, at: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A flipped bit is one line in the log and no list; a torn end is the list before it."""
-    catalog, kept = Catalog(), kept_list(tmp_path)
-    await keep(kept, catalog, committed(catalog, 7, True, *(one(f"s{n}", n) for n in range(50))), True)
+    """A flipped bit logs one line and loads no list; a torn tail loads the list before it."""
+    catalog, cache = Catalog(), open_cache(tmp_path)
+    await store(cache, catalog, committed(catalog, 7, True, *(entry(f"s{n}", n) for n in range(50))), True)
     before = content(catalog)
-    await keep(kept, catalog, committed(catalog, 8, False, one("new", 1)), False)
-    kept.close()
+    await store(cache, catalog, committed(catalog, 8, False, entry("new", 1)), False)
+    cache.close()
     data = (tmp_path / "list").read_bytes()
-    spoilt = bytearray(data)
-    spoilt[len(data) * at // 100] ^= 4
-    for text, left in ((bytes(spoilt), None), (data[:-1], before), (data[: len(data) * at // 120], None)):
+    damaged = bytearray(data)
+    damaged[len(data) * at // 100] ^= 4
+    for text, left in ((bytes(damaged), None), (data[:-1], before), (data[: len(data) * at // 120], None)):
         (tmp_path / "list").write_bytes(text)
         caplog.clear()
-        again, restored = kept_list(tmp_path), Catalog()
+        again, restored = open_cache(tmp_path), Catalog()
         if again.load(restored, known=0):
             assert restored.version in (7, 8)
             assert content(restored) == (before if restored.version == 7 else content(catalog))
@@ -278,75 +283,77 @@
         again.close()
 
 
-async def test_kept_list_of_other_zones_is_not_used(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    catalog, kept = Catalog(), kept_list(tmp_path)
-    await keep(kept, catalog, committed(catalog, 7, True, one("a")), True)
-    kept.close()
-    again = kept_list(tmp_path, zones=("s", "n"))
+async def test_cached_list_of_other_zones_is_not_used(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    catalog, cache = Catalog(), open_cache(tmp_path)
+    await store(cache, catalog, committed(catalog, 7, True, entry("a")), True)
+    cache.close()
+    again = open_cache(tmp_path, zones=("s", "n"))
     assert not again.load(Catalog(), known=0) and "another form" in caplog.text
     again.close()
 
 
-async def test_kept_list_stays_within_its_part_of_the_disk(
+async def test_cached_list_stays_within_its_disk_limit(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Old and new file together. What no longer fits is not kept, and an older version stays good."""
-    catalog, kept = Catalog(), kept_list(tmp_path, most=20_000)
-    await keep(kept, catalog, committed(catalog, 7, True, *(one(f"s{n}", n) for n in range(100))), True)
-    await keep(kept, catalog, committed(catalog, 8, False, *(one(f"t{n}", n) for n in range(900))), False)
-    await keep(kept, catalog, committed(catalog, 9, False, one("u")), False)
+    """Old and new file together. A list that no longer fits is not stored; the older version stays valid."""
+    catalog, cache = Catalog(), open_cache(tmp_path, max_bytes=20_000)
+    await store(cache, catalog, committed(catalog, 7, True, *(entry(f"s{n}", n) for n in range(100))), True)
+    await store(cache, catalog, committed(catalog, 8, False, *(entry(f"t{n}", n) for n in range(900))), False)
+    await store(cache, catalog, committed(catalog, 9, False, entry("u")), False)
     assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= 20_000
     assert "left as it is" in caplog.text
     restored = Catalog()
-    assert kept.load(restored, known=0) and restored.version == 7 and len(restored) == 100
-    kept.close()
+    assert cache.load(restored, known=0) and restored.version == 7 and len(restored) == 100
+    cache.close()
 
 
-async def test_only_the_holder_of_the_lock_writes(tmp_path: Path) -> None:
-    catalog, kept, other = Catalog(), kept_list(tmp_path), kept_list(tmp_path)
-    await keep(kept, catalog, committed(catalog, 7, True, one("a")), True)
-    committed(catalog, 8, False, one("b"))
-    await keep(other, catalog, {3}, False)
+async def test_only_the_lock_owner_writes(tmp_path: Path) -> None:
+    catalog, cache, other = Catalog(), open_cache(tmp_path), open_cache(tmp_path)
+    await store(cache, catalog, committed(catalog, 7, True, entry("a")), True)
+    committed(catalog, 8, False, entry("b"))
+    await store(other, catalog, {3}, False)
     assert other.file is None and other.rewrite_task is None
-    kept.close()
-    await keep(other, catalog, {3}, False)
+    cache.close()
+    await store(other, catalog, {3}, False)
     restored = Catalog()
     assert other.load(restored, known=0) and restored.version == 8
     other.close()
 
 
-async def test_list_that_changes_often_is_written_anew_before_its_changes_fill_its_room(
+async def test_frequently_changing_list_is_rewritten_before_its_deltas_fill_the_disk_limit(
     tmp_path: Path,
 ) -> None:
-    """Its room is smaller than what changes may take where there is plenty."""
-    catalog, kept = Catalog(), kept_list(tmp_path, most=60_000)
-    await keep(kept, catalog, committed(catalog, 1, True, *(one(f"s{n}", n) for n in range(30))), True)
+    """Its disk limit is below the size of deltas that triggers a rewrite otherwise."""
+    catalog, cache = Catalog(), open_cache(tmp_path, max_bytes=60_000)
+    await store(cache, catalog, committed(catalog, 1, True, *(entry(f"s{n}", n) for n in range(30))), True)
     for version in range(2, 1000):
-        change = committed(catalog, version, False, one(f"s{version % 30}", version % 30, port=version))
-        await keep(kept, catalog, change, False)
+        change = committed(catalog, version, False, entry(f"s{version % 30}", version % 30, port=version))
+        await store(cache, catalog, change, False)
         assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= 60_000
     restored = Catalog()
-    assert kept.load(restored, known=0) and restored.version == 999
+    assert cache.load(restored, known=0) and restored.version == 999
     assert content(restored) == content(catalog)
-    kept.close()
+    cache.close()
 
 
 @pytest.mark.parametrize("calls", [("write",), ("open",), ("rename",)])
-async def test_list_that_the_disk_did_not_take_is_written_when_it_is_well_again(
+async def test_list_that_failed_to_write_is_written_when_the_disk_works_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, calls: tuple[str, ...]
 ) -> None:
-    """With no further change of the list."""
+    """Without a further change of the list."""
     monkeypatch.setattr(endpoint_cache, "RETRY_DELAY_AFTER_ERROR", 0.05)
-    catalog, kept = Catalog(), kept_list(tmp_path)
+    catalog, cache = Catalog(), open_cache(tmp_path)
     disk = FailingDisk(monkeypatch, errno.ENOSPC, calls)
-    await keep(kept, catalog, committed(catalog, 7, True, one("a")), True)
-    await keep(kept, catalog, committed(catalog, 8, False, one("b")), False)
-    assert kept.file is None and disk.failed
+    await store(cache, catalog, committed(catalog, 7, True, entry("a")), True)
+    await store(cache, catalog, committed(catalog, 8, False, entry("b")), False)
+    assert cache.file is None and disk.failed
     disk.failing = False
-    await until(lambda: kept.file is not None)
+    await until(lambda: cache.file is not None)
     restored = Catalog()
-    assert kept.load(restored, known=0) and restored.version == 8 and set(restored) == {"a", "b"}
-    kept.close()
+    assert cache.load(restored, known=0) and restored.version == 8 and set(restored) == {"a", "b"}
+    cache.close()
 
 
 # ---- the relay
@@ -358,7 +365,7 @@
 
 
 async def test_list_of_over_four_mebibytes_is_read_and_its_destinations_are_served(field: Field) -> None:
-    """Only those in use are known to the Pacer; a change reaches them within the drain's time."""
+    """The Pacer knows only destinations in use; a delta reaches them within the drain grace time."""
     client = await field.start()
     relay = field.relays[0]
     watch = await field.platform.next_watch()
@@ -380,13 +387,13 @@
 
 
 async def restarted(field: Field) -> tuple[Relay, str, Client]:
-    """A second life in the same folder, and how it asks for the list."""
+    """Start another relay in the same folder; also return the target of its request for the list."""
     client = await field.start()
     call = await field.platform.next_call()
     return field.relays[-1], call.line.split()[1], client
 
 
-async def test_restart_asks_only_for_what_changed_since_the_kept_list(field: Field) -> None:
+async def test_restart_requests_only_the_deltas_since_the_cached_list(field: Field) -> None:
     field.limits["disk_mb"] = 20
     field.extra["list"] = {"keep": True}
     await field.start()
@@ -406,8 +413,8 @@
     (await field.host.next_call()).answer(200)
 
 
-async def test_kept_list_that_discovery_is_behind_is_asked_for_whole(field: Field) -> None:
-    """Its versions began anew, say: changes up to version 12 say nothing of a list of version 50."""
+async def test_snapshot_is_requested_when_discovery_is_behind_the_cached_list(field: Field) -> None:
+    """For example, versions were reset: deltas up to version 12 do not apply to a list of version 50."""
     field.extra["list"] = {"keep": True}
     await field.start()
     relay = field.relays[0]
@@ -438,10 +445,10 @@
 
 @pytest.mark.parametrize("status", ["Terminating", "Gone"])
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
-async def test_what_the_process_before_was_told_binds_from_the_first_moment(
+async def test_endpoint_state_known_to_the_previous_process_applies_from_the_start(
     field: Field, status: str, mode: str
 ) -> None:
-    """Discovery is down as it starts, and tells nothing: what the agent has counts as told all the same."""
+    """Discovery is down at the start: updates that the previous process received apply nevertheless."""
     field.facts["discovery"] = mode
     other = HttpServer()
     await other.start()
@@ -466,7 +473,7 @@
     await other.stop()
 
 
-async def test_list_that_is_not_to_be_kept_is_not(field: Field) -> None:
+async def test_list_is_not_cached_when_caching_is_disabled(field: Field) -> None:
     field.extra["list"] = {"keep": False}
     await field.start()
     watch = await field.platform.next_watch()
@@ -475,9 +482,9 @@
     assert not [path.name for path in field.state.iterdir() if path.name.startswith("list")]
 
 
-def test_part_of_the_disk_for_the_list_is_checked(field: Field) -> None:
-    def configured(**kept: Any) -> Config:
-        field.extra["list"] = kept
+def test_disk_limit_of_the_cached_list_is_validated(field: Field) -> None:
+    def configured(**options: Any) -> Config:
+        field.extra["list"] = options
         return field.config()
 
     field.limits["disk_mb"] = 8
@@ -485,23 +492,27 @@
     assert (configured(keep=False).list_bytes, configured(keep=False).disk_bytes) == (0, 8_000_000)
     assert (configured(keep=True).list_bytes, configured(keep=True).disk_bytes) == (4_000_000, 4_000_000)
     assert configured(keep=True, disk_mb=3).disk_bytes == 5_000_000
-    for wrong in ({"keep": True, "disk_mb": 8}, {"keep": True, "disk_mb": 0}, {"keep": True, "disk_mb": "x"}):
-        field.extra["list"] = wrong
+    for invalid in (
+        {"keep": True, "disk_mb": 8},
+        {"keep": True, "disk_mb": 0},
+        {"keep": True, "disk_mb": "x"},
+    ):
+        field.extra["list"] = invalid
         with pytest.raises(ConfigError, match="list|convert"):
             load(field.environment())
 
 
-def test_known_list_of_a_fleet_is_read_in_little_room(field: Field) -> None:
-    """As objects, 30,000 entries take some 35 MB. None of them outlives the reading."""
+def test_known_list_of_a_fleet_is_read_with_bounded_memory(field: Field) -> None:
+    """As objects, 30,000 entries take some 35 MB. None of them outlives the parsing."""
     field.endpoints = lines(30_000)
     environment = field.environment()
     tracemalloc.start()
     config = load(environment)
     catalog = Catalog()
-    news = EntryParser(config, catalog.stage).read_known(config)
-    catalog.commit(news.staged, news.index, news.whole)
-    held, most = tracemalloc.get_traced_memory()
+    updates = EntryParser(config, catalog.stage).read_known(config)
+    catalog.commit(updates.staged, updates.index, updates.whole)
+    held, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert len(catalog) == 30_000
-    assert most < 600 * 30_000, f"{most} bytes at most"
+    assert peak < 600 * 30_000, f"{peak} bytes at peak"
     assert held < 350 * 30_000, f"{held} bytes kept"
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -105,14 +105,14 @@
     call.answer(200)
 
 
-@pytest.mark.parametrize("signals", [(KILL, KILL), (TERM, KILL)])
+@pytest.mark.parametrize("numbers", [(KILL, KILL), (TERM, KILL)])
 async def test_steps_forth_and_back_across_two_restarts_in_a_row(
-    field: Field, process: Process, clock: Clock, signals: tuple[signal.Signals, signal.Signals]
+    field: Field, process: Process, clock: Clock, numbers: tuple[signal.Signals, signal.Signals]
 ) -> None:
     client = await process.start()
     started_at = time.monotonic()
     assert await client.enqueue("m1", "unsafe", d=7900) == b"OK"
-    for step, signal_number in zip((3600.0, -3600.0), signals, strict=True):
+    for step, signal_number in zip((3600.0, -3600.0), numbers, strict=True):
         await throttle_once(field)
         await process.stop(signal_number)
         clock.step(step)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients fill the descriptors while discovery is down: what is kept back for all else suffices."""
+"""Idle clients use up their descriptors while discovery is down: the reserve suffices for everything else."""
 
 from __future__ import annotations
 
@@ -13,57 +13,60 @@
 from tests.processes import Process
 from tests.sockets import Client, Field, HttpServer, endpoint, listing
 
-SOCKETS = 256  # descriptors, the least that a relay is given
-SHARE = SOCKETS // 3  # of them, the most that clients hold
-TOLD = 6.0  # seconds after discovery is back, to hear of that
-OWED = 3.0  # seconds after connecting, to an error line or a close
-DOWN = 3.0  # seconds
-CROWD = 400
-SILENT_CALLS = 120  # to an endpoint that hangs: half of the descriptors
-FIRST_LOOK = 0.5  # seconds in which the crowd connects while the relay is not running
-AGAIN = 1.0  # seconds after which a client that is shut out comes again
+SOCKETS = 256  # descriptors, the smallest limit of a relay
+SHARE = SOCKETS // 3  # descriptors, the limit of client connections
+TOLD = 6.0  # seconds from the return of discovery until the relay receives an update
+OWED = 3.0  # seconds from connecting to an answer, an error line or a close
+DOWN = 3.0  # seconds of the discovery outage
+CROWD = 400  # clients
+SILENT_CALLS = 120  # calls to an endpoint that hangs: half of the descriptors
+FIRST_LOOK = 0.5  # seconds in which the clients connect while the relay is stopped by SIGSTOP
+AGAIN = 1.0  # seconds until a rejected client reconnects
 
 
-class Crowd:
-    """Clients that connect, ask once whether the relay is there, and rest; who is shut out comes again."""
+class IdleClients:
+    """Clients that connect, send one PING and stay idle. Rejected clients reconnect."""
 
     def __init__(self, port: int) -> None:
         self.port = port
-        self.resting: set[Client] = set()
-        self.most_resting = 0
-        self.shut_out = 0
-        self.left_with_neither: list[float] = []  # seconds without an answer, an error line or a close
-        self.goes_on = True
-
-    async def one(self) -> None:
-        while self.goes_on:
-            began = time.monotonic()
+        self.idle: set[Client] = set()
+        self.most_idle = 0
+        self.rejected = 0
+        self.unanswered: list[float] = []  # seconds waited without an answer, an error line or a close
+        self.active = True
+
+    async def run_one(self) -> None:
+        while self.active:
+            started_at = time.monotonic()
             with contextlib.suppress(ConnectionError):
-                await self._rest(await Client.connect(self.port), began)
+                await self._stay_idle(await Client.connect(self.port), started_at)
             await asyncio.sleep(AGAIN)
 
-    async def _rest(self, client: Client, began: float) -> None:
+    async def _stay_idle(self, client: Client, started_at: float) -> None:
         try:
-            heard = await client.ask("PING")
-            waited = time.monotonic() - began
+            answer = await client.ask("PING")
+            waited = time.monotonic() - started_at
             if waited > OWED:
-                self.left_with_neither.append(waited)
-            if heard != b"PONG":
-                self.shut_out += 1
+                self.unanswered.append(waited)
+            if answer != b"PONG":
+                self.rejected += 1
                 return
-            self.resting.add(client)
-            self.most_resting = max(self.most_resting, self._held())
+            self.idle.add(client)
+            self.most_idle = max(self.most_idle, self._open_count())
             await client.read()
         finally:
-            self.resting.discard(client)
+            self.idle.discard(client)
             client.writer.transport.abort()
 
-    def _held(self) -> int:
-        """Resting clients that the relay has not closed, as the kernel knows: we may not have seen it yet."""
+    def _open_count(self) -> int:
+        """Return the number of idle clients that the relay has not closed according to the kernel.
+
+        This process may not have read the end of a connection yet.
+        """
         poll = select.poll()
-        for client in self.resting:
+        for client in self.idle:
             poll.register(client.writer.get_extra_info("socket").fileno(), select.POLLRDHUP)
-        return len(self.resting) - len(poll.poll(0))
+        return len(self.idle) - len(poll.poll(0))
 
 
 async def read_log(process: Process, lines: list[str]) -> None:
@@ -72,7 +75,7 @@
         lines.append(line.decode())
 
 
-def descriptors(process: Process) -> int:
+def open_descriptors(process: Process) -> int:
     assert process.child is not None
     return len(os.listdir(f"/proc/{process.child.pid}/fd"))
 
@@ -80,18 +83,19 @@
 async def test_256_descriptors_filled_by_idle_clients_leave_enough_for_discovery_calls_and_notices(
     field: Field, process: Process
 ) -> None:
-    """Clients hold a third of them at most. The return of discovery is heard of within 6 s; who is shut out
-    hears so, or is closed, within 3 s."""
+    """Clients hold at most a third of them. The relay receives an update within 6 s of the return of
+    discovery. Rejected clients get an error or a close within 3 s."""
     field.limits["sockets"] = SOCKETS
     field.facts["discovery"] = "subscribe"
     field.facts["familyInfo"]["callsOut"] = 2 * SILENT_CALLS
     field.facts["limits"]["mostHeld"] = 1000
-    for one in field.facts["classes"]:
-        one.update(aim=30 * 10**9, deadline=60 * 10**9)  # a call may take long: those out stay out
-    leaves, stays = HttpServer(), HttpServer()
-    for host in (leaves, stays):
-        await host.start()
-    field.endpoints = [endpoint(field.host), {**endpoint(leaves, "s-2"), "group": 4}]
+    for message_class in field.facts["classes"]:
+        # Calls may take long, so that those in flight stay.
+        message_class.update(aim=30 * 10**9, deadline=60 * 10**9)
+    removed, remaining = HttpServer(), HttpServer()
+    for server in (removed, remaining):
+        await server.start()
+    field.endpoints = [endpoint(field.host), {**endpoint(removed, "s-2"), "group": 4}]
     client = await process.start()
     assert process.child is not None
     resource.prlimit(process.child.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
@@ -104,44 +108,46 @@
 
     field.platform.on_call = lambda call: None  # type: ignore[method-assign]
     watch.call.abort()
-    process.child.send_signal(signal.SIGSTOP)  # as on a busy machine: all come before it looks again
-    crowd = Crowd(process.port)
-    tasks += [asyncio.create_task(crowd.one()) for _ in range(CROWD)]
+    process.child.send_signal(signal.SIGSTOP)  # as on a busy machine: all connect before it polls again
+    idle_clients = IdleClients(process.port)
+    tasks += [asyncio.create_task(idle_clients.run_one()) for _ in range(CROWD)]
     await asyncio.sleep(FIRST_LOOK)
     process.child.send_signal(signal.SIGCONT)
-    most, until = 0, time.monotonic() + DOWN
+    peak, until = 0, time.monotonic() + DOWN
     while time.monotonic() < until:
-        most = max(most, descriptors(process))
+        peak = max(peak, open_descriptors(process))
         await asyncio.sleep(0.01)
 
     del field.platform.on_call
     async with asyncio.timeout(TOLD):
         watch = await field.platform.next_watch()
     watch.line(
-        listing(43, {**endpoint(leaves, "s-2", "Gone"), "group": 4}, {**endpoint(stays, "s-3"), "group": 4})
+        listing(
+            43, {**endpoint(removed, "s-2", "Gone"), "group": 4}, {**endpoint(remaining, "s-3"), "group": 4}
+        )
     )
     for n in range(4):
-        await hand_in(process, f"m{n}")
-        (await stays.next_call()).answer(200)
-    await hand_in(process, "dead")
-    (await stays.next_call()).answer(500)
+        await enqueue_with_retries(process, f"m{n}")
+        (await remaining.next_call()).answer(200)
+    await enqueue_with_retries(process, "dead")
+    (await remaining.next_call()).answer(500)
     assert await field.platform.next_notice() == {"ref": "dead", "result": "dead"}
 
-    crowd.goes_on = False
+    idle_clients.active = False
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    assert leaves.calls.empty()
-    assert most < SOCKETS
+    assert removed.calls.empty()
+    assert peak < SOCKETS
     assert [line for line in log if "Too many open files" in line] == []
-    assert SHARE - 1 <= crowd.most_resting <= SHARE and crowd.shut_out >= CROWD - SHARE
-    assert crowd.left_with_neither == []
-    for host in (leaves, stays):
-        await host.stop()
+    assert SHARE - 1 <= idle_clients.most_idle <= SHARE and idle_clients.rejected >= CROWD - SHARE
+    assert idle_clients.unanswered == []
+    for server in (removed, remaining):
+        await server.stop()
 
 
-async def hand_in(process: Process, ref: str) -> None:
-    """Clients in the crowd's midst come again until one of theirs is taken on."""
+async def enqueue_with_retries(process: Process, ref: str) -> None:
+    """Reconnect beside the idle clients until the message is accepted."""
     while True:
         with contextlib.suppress(ConnectionError):
             client = await Client.connect(process.port)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Sending clients away: entered, left, entered again, and never an end."""
+"""Tests of drain and resume of client connections without a process exit."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from tests.sockets import Client, Field, http
 
 
-async def drained(process: Process) -> bool:
-    """Whether a check on a connection of its own hears no."""
+async def is_drained(process: Process) -> bool:
+    """Return whether a health check on a new connection fails."""
     check = await Client.connect(process.port)
     answer = await check.ask("PING")
-    assert answer == b"PONG" or await check.read() is None  # a drained relay closes behind its no
+    assert answer == b"PONG" or await check.read() is None  # a drained relay closes after its error
     check.writer.close()
     return bool(answer != b"PONG")
 
 
-async def test_drain_can_be_entered_left_and_entered_again(field: Field, process: Process) -> None:
+async def test_drain_can_be_started_ended_and_started_again(field: Field, process: Process) -> None:
     process.mgmt = free_port()
     idle = await process.start()
     assert await idle.ask("PING") == b"PONG"
@@ -27,30 +27,31 @@
     call = await field.host.next_call()
     assert (await http(process.mgmt, "PUT /healthcheck/fail"))[0] == 200
     assert await idle.read() is None and await busy.read() is None  # closed between requests
-    assert await drained(process)
-    late = await Client.connect(process.port)  # came up before its front heard of it
+    assert await is_drained(process)
+    late = await Client.connect(process.port)  # connects before its load balancer notices the drain
     assert await late.enqueue("m2") == b"OK"
     assert await late.read() is None
     call.answer(200)
-    (await field.host.next_call()).answer(200)  # what was taken on goes on
+    (await field.host.next_call()).answer(200)  # accepted messages are still delivered
     assert (await http(process.mgmt, "PUT /healthcheck/ok"))[0] == 200
-    assert not await drained(process)
+    assert not await is_drained(process)
     kept = await Client.connect(process.port)
     assert await kept.enqueue("m3") == b"OK"
     (await field.host.next_call()).answer(200)
     assert await kept.ask("PING") == b"PONG"
     assert (await http(process.mgmt, "PUT /healthcheck/fail"))[0] == 200
     assert await kept.read() is None
-    assert await drained(process)
+    assert await is_drained(process)
     assert process.child is not None and process.child.returncode is None
     assert await process.stop(signal.SIGTERM) == 0
 
 
-async def test_connection_that_has_just_come_up_keeps_the_time_for_its_first_request(field: Field) -> None:
+async def test_new_connection_keeps_its_time_for_a_first_request_during_a_drain(field: Field) -> None:
     first = await field.start()
     assert await first.ask("PING") == b"PONG"
     new = await Client.connect(int(first.writer.get_extra_info("peername")[1]))
-    assert await first.ask("PING") == b"PONG"  # the relay has looked at its sockets: it knows the new one
+    # The answer shows that the relay has polled its sockets and accepted the new connection.
+    assert await first.ask("PING") == b"PONG"
     field.relays[0].drain()
     assert await first.read() is None
     assert await new.enqueue("m1") == b"OK"
@@ -58,7 +59,7 @@
     (await field.host.next_call()).answer(200)
 
 
-async def test_end_of_a_drain_does_not_undo_the_planned_end(field: Field) -> None:
+async def test_resume_does_not_cancel_a_graceful_shutdown(field: Field) -> None:
     client = await field.start()
     relay = field.relays[0]
     relay.server.stop()
@@ -69,7 +70,7 @@
     (await field.host.next_call()).answer(200)
 
 
-async def test_silent_connections_make_way_where_another_process_serves(field: Field) -> None:
+async def test_unused_connections_are_closed_when_another_process_serves(field: Field) -> None:
     first = await field.start()
     server = field.relays[0].server
     silent, new = [await Client.connect(int(first.writer.get_extra_info("peername")[1])) for _ in range(2)]
--- a/tests/test_health_store.py
+++ b/tests/test_health_store.py
@@ -68,7 +68,7 @@
     assert load_records(tmp_path)[-1].last_bad_outcome_at == NOW - S + 499
 
 
-# Guards against a start that fails or loads invalid records because of an unreadable file.
+# Guards against a start that fails or loads wrong records because of an unreadable file.
 @pytest.mark.parametrize("damage", [b"", b"\0" * 200, b"00000000 [1]\n", b"x\n" * 5])
 def test_damaged_file_is_ignored(tmp_path: Path, damage: bytes) -> None:
     (tmp_path / "health").write_bytes(damage)
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    "invalid",
+    "wrong",
     [
         {"failure_rate": 7.0},
         {"failure_rate": float("nan")},
@@ -97,8 +97,8 @@
         {"in_outage": 1},
     ],
 )
-def test_records_with_invalid_values_are_skipped(tmp_path: Path, invalid: dict[str, Any]) -> None:
-    write_records(tmp_path, replace(record(1), **invalid), record(2, "b"))
+def test_records_with_invalid_values_are_skipped(tmp_path: Path, wrong: dict[str, Any]) -> None:
+    write_records(tmp_path, replace(record(1), **wrong), record(2, "b"))
     assert [one.destination for one in load_records(tmp_path)] == [2]
 
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The operators' door: what it answers, how soon, and whom it lets wait."""
+"""Tests of the management interface: answers, response times and connection limits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.processes import Process, free_port
 from tests.sockets import PATIENCE, Field, http
 
-SOCKETS = 128  # descriptors: eight callers
+SOCKETS = 128  # descriptors, which allow eight connections
 
 
 @pytest.fixture
@@ -26,12 +26,12 @@
 
 @pytest.fixture
 def port(health: Health) -> Iterator[int]:
-    door = AdminServer(build_routes(health, Metrics(["filing"]), lambda: None, lambda: None), SOCKETS)
-    yield door.start(Address("127.0.0.1", 0))[1]
-    door.close()
+    admin = AdminServer(build_routes(health, Metrics(["filing"]), lambda: None, lambda: None), SOCKETS)
+    yield admin.start(Address("127.0.0.1", 0))[1]
+    admin.close()
 
 
-async def test_healthcheck_says_yes_only_while_the_process_can_serve(health: Health, port: int) -> None:
+async def test_healthcheck_succeeds_only_while_the_process_can_serve(health: Health, port: int) -> None:
     assert (await http(port, "GET /healthcheck"))[0] == 503
     health.ready = True
     assert (await http(port, "GET /healthcheck?from=probe"))[0] == 200
@@ -48,25 +48,27 @@
         ("GET healthcheck\x01", 400),
     ],
 )
-async def test_unknown_paths_methods_and_garbage_are_told_so(port: int, line: str, status: int) -> None:
+async def test_unknown_paths_methods_and_garbage_get_an_error_status(
+    port: int, line: str, status: int
+) -> None:
     assert (await http(port, line))[0] == status
 
 
-async def test_answers_come_while_the_relays_own_loop_is_in_a_long_turn(field: Field) -> None:
+async def test_answers_arrive_while_the_event_loop_of_the_relay_is_blocked(field: Field) -> None:
     await field.start()
     relay = field.relays[0]
-    door = AdminServer(build_routes(relay.health, relay.metrics, relay.drain, relay.resume), SOCKETS)
+    admin = AdminServer(build_routes(relay.health, relay.metrics, relay.drain, relay.resume), SOCKETS)
     try:
-        port = door.start(Address("127.0.0.1", 0))[1]
+        port = admin.start(Address("127.0.0.1", 0))[1]
         call = HTTPConnection("127.0.0.1", port, timeout=PATIENCE)
         call.request("GET", "/healthcheck")
-        assert call.getresponse().status == 200  # it blocks: nothing else runs in this loop meanwhile
+        assert call.getresponse().status == 200  # blocks: the event loop runs nothing else meanwhile
         call.close()
     finally:
-        door.close()
+        admin.close()
 
 
-async def test_healthcheck_says_no_during_a_drain(health: Health, port: int) -> None:
+async def test_healthcheck_fails_during_a_drain(health: Health, port: int) -> None:
     health.ready = True
     for _ in range(2):
         assert (await http(port, "PUT /healthcheck/fail"))[0] == 200
@@ -77,7 +79,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /healthche"])
-async def test_silent_callers_make_way_for_good_ones(health: Health, port: int, sent: bytes) -> None:
+async def test_silent_connections_are_closed_for_new_ones(health: Health, port: int, sent: bytes) -> None:
     health.ready = True
     silent = []
     for _ in range(3 * SOCKETS // 16):
@@ -86,12 +88,12 @@
         silent.append((reader, writer))
         assert (await http(port, "GET /healthcheck"))[0] == 200
     async with asyncio.timeout(PATIENCE):
-        assert await silent[0][0].read() == b""  # the one longest here went first
+        assert await silent[0][0].read() == b""  # the oldest connection is closed first
     for _, writer in silent:
         writer.transport.abort()
 
 
-async def test_half_a_call_is_answered_in_the_end(port: int) -> None:
+async def test_incomplete_request_is_answered_with_a_timeout(port: int) -> None:
     assert (await http(port, "PUT /healthcheck HTTP/1.1\r\nContent-Length: 9\r\nX: y"))[0] == 408
 
 
@@ -103,7 +105,7 @@
     writer.transport.abort()
 
 
-async def test_process_serves_the_door_that_its_configuration_names(field: Field, process: Process) -> None:
+async def test_process_serves_the_configured_management_interface(field: Field, process: Process) -> None:
     process.mgmt = free_port()
     await process.start()
     assert (await http(process.mgmt, "GET /healthcheck"))[0] == 200
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures: each event once, at the moment it happens."""
+"""Tests of the metrics: each event is counted once, when it happens."""
 
 from __future__ import annotations
 
@@ -10,26 +10,24 @@
 from tests.sockets import Field, endpoint, listing, until
 
 
-LOOKED_AT = (
-    "cluster",
-    "destinations",
-)  # figures that are looked at now and then, not counted as things happen
+# Gauges that are sampled, not counted per event.
+LOOKED_AT = ("cluster", "destinations")
 
 
 def read(metrics: Metrics) -> dict[str, int]:
-    """The figures by name, with the class behind it."""
-    figures = {}
+    """Return the values by metric name and class."""
+    values = {}
     for line in metrics.render().splitlines():
         if not line.startswith("#"):
             match = re.fullmatch(r'relay_(\w+)(?:\{group="(.*)"\})? (\d+)', line)
             assert match is not None, line
-            figures["/".join(filter(None, match.groups()[:2]))] = int(match[3])
-    return figures
+            values["/".join(filter(None, match.groups()[:2]))] = int(match[3])
+    return values
 
 
 def test_every_class_has_its_lines_from_the_start() -> None:
-    figures = read(Metrics(["filing", "notice"]))
-    assert figures == dict.fromkeys(
+    values = read(Metrics(["filing", "notice"]))
+    assert values == dict.fromkeys(
         (
             "answered_total/filing",
             "answered_total/notice",
@@ -57,7 +55,7 @@
 
 
 def changed(metrics: Metrics, before: dict[str, int]) -> dict[str, int]:
-    """What of the messages' figures has changed, and by how much."""
+    """Return the changes of the message metrics."""
     return {
         name: value - before[name]
         for name, value in read(metrics).items()
@@ -78,7 +76,7 @@
     assert changed(metrics, before) == {"answered_total/safe": 1, "sends_total": 2}
 
 
-async def test_failed_refused_and_withdrawn_messages_are_told_apart(field: Field) -> None:
+async def test_failed_rejected_and_withdrawn_messages_are_counted_separately(field: Field) -> None:
     client = await field.start()
     relay = field.relays[0]
     before = read(relay.metrics)
@@ -87,7 +85,7 @@
     assert (await field.platform.next_notice())["result"] == "dead"
     assert changed(relay.metrics, before) == {"errored_total/unsafe": 1, "sends_total": 1}
     assert await client.enqueue("gone") == b"OK"
-    (await field.host.next_call()).answer(410)  # over without us: it ended nowhere
+    (await field.host.next_call()).answer(410)  # finished elsewhere: it counts nowhere
     await until(lambda: not relay.held_messages)
     assert changed(relay.metrics, before) == {"errored_total/unsafe": 1, "sends_total": 2}
     relay.on_list_update(relay.entry_parser.read({"index": 42, "snapshot": True, "endpoints": []}))
@@ -100,7 +98,7 @@
     }
 
 
-async def test_a_newcomer_that_cannot_be_kept_is_refused(field: Field) -> None:
+async def test_new_message_that_cannot_be_journaled_counts_as_deferred(field: Field) -> None:
     field.limits["disk_mb"] = 0.005
     client = await field.start()
     before = read(field.relays[0].metrics)
@@ -108,7 +106,7 @@
     assert changed(field.relays[0].metrics, before) == {"deferred_total/safe": 1}
 
 
-async def test_what_an_earlier_process_took_on_is_current_and_counts_where_it_ends(field: Field) -> None:
+async def test_messages_of_a_previous_process_are_current_and_count_where_they_end(field: Field) -> None:
     client = await field.start()
     assert await client.enqueue("m1") == b"OK"
     await field.host.next_call()
@@ -123,7 +121,7 @@
     assert read(metrics)["answered_total/safe"] == 1 and read(metrics)["current"] == 0
 
 
-async def test_draining_endpoints_are_listed_and_avoided(field: Field) -> None:
+async def test_draining_endpoints_count_as_listed_and_unhealthy(field: Field) -> None:
     field.endpoints.append(endpoint(field.host, "s-2"))
     await field.start()
     relay = field.relays[0]
@@ -134,7 +132,7 @@
     assert read(relay.metrics)["cluster_size"] == 2
 
 
-def test_endpoints_of_a_destination_in_an_outage_are_avoided() -> None:
+def test_endpoints_of_a_destination_in_an_outage_count_as_unhealthy() -> None:
     relay = Relay(entry("a"), entry("b"), entry("c", dest=2))
     assert relay.pacer.endpoint_counts(relay.now) == (3, 0)
     relay.turn(relay.message())
@@ -142,7 +140,7 @@
     assert relay.pacer.endpoint_counts(relay.now + S) == (3, 2)
 
 
-# Guards against an outage that nobody on call can see in the figures.
+# Guards against an outage that the metrics do not show to operators.
 async def test_destination_whose_calls_fail_is_counted_as_suspect_then_out_then_recovering(
     field: Field,
 ) -> None:
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""Notices against a platform on loopback sockets."""
+"""Tests of the notice sender against a platform on loopback sockets."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from tests.sockets import Call, HttpServer, until
 
 
-class Desk:
-    """The sender, what it has been told is acknowledged, and the platform's side."""
+class SenderAndPlatform:
+    """The notice sender, the ids of its acknowledged notices and the platform."""
 
     def __init__(self, platform: HttpServer) -> None:
         self.platform = platform
-        self.told: list[str] = []
-        self.notices = Notices(Address.parse(platform.address), self.told.append)
+        self.acknowledged: list[str] = []
+        self.notices = Notices(Address.parse(platform.address), self.acknowledged.append)
 
     async def next_post(self) -> tuple[Call, list[dict[str, object]]]:
         call = await self.platform.next_call()
@@ -31,45 +31,45 @@
         return call, [json.loads(line) for line in call.body.splitlines()]
 
 
-def take(call: Call) -> None:
+def acknowledge(call: Call) -> None:
     call.send_raw(b"HTTP/1.1 204 No Content\r\n\r\n")
 
 
 @pytest_asyncio.fixture
-async def desk() -> AsyncIterator[Desk]:
+async def sender() -> AsyncIterator[SenderAndPlatform]:
     platform = HttpServer()
     await platform.start()
-    made = Desk(platform)
-    made.notices.start()
-    yield made
-    made.notices.close()
+    created = SenderAndPlatform(platform)
+    created.notices.start()
+    yield created
+    created.notices.close()
     await platform.stop()
 
 
-async def test_notices_go_one_to_a_line_and_only_a_refusal_tells_a_wait(desk: Desk) -> None:
-    desk.notices.queue_notice("a", "dead", 300)
-    desk.notices.queue_notice("b", "bounced", 500)
-    desk.notices.queue_notice("c", "bounced", 0)
-    call, lines = await desk.next_post()
+async def test_notices_are_one_line_each_and_only_bounced_ones_have_a_wait(sender: SenderAndPlatform) -> None:
+    sender.notices.queue_notice("a", "dead", 300)
+    sender.notices.queue_notice("b", "bounced", 500)
+    sender.notices.queue_notice("c", "bounced", 0)
+    call, lines = await sender.next_post()
     assert lines == [
         {"ref": "a", "result": "dead"},
         {"ref": "b", "result": "bounced", "wait_ms": 500},
         {"ref": "c", "result": "bounced"},
     ]
-    assert desk.told == [] and len(desk.notices.queue) == 3
-    take(call)
-    await until(lambda: not desk.notices.queue)
-    assert desk.told == ["a", "b", "c"]
+    assert sender.acknowledged == [] and len(sender.notices.queue) == 3
+    acknowledge(call)
+    await until(lambda: not sender.notices.queue)
+    assert sender.acknowledged == ["a", "b", "c"]
 
 
-async def test_next_notice_uses_the_same_connection(desk: Desk) -> None:
+async def test_next_notice_reuses_the_connection(sender: SenderAndPlatform) -> None:
     seen = set()
     for ref in ("a", "b"):
-        desk.notices.queue_notice(ref, "dead", 0)
-        call, _ = await desk.next_post()
+        sender.notices.queue_notice(ref, "dead", 0)
+        call, _ = await sender.next_post()
         seen.add(call.connection)
-        take(call)
-        await until(lambda: not desk.notices.queue)
+        acknowledge(call)
+        await until(lambda: not sender.notices.queue)
     assert len(seen) == 1
 
 
@@ -84,108 +84,108 @@
     ],
     ids=["503", "400", "200", "unreadable", "broken off"],
 )
-async def test_only_204_acknowledges_a_notice(desk: Desk, answer: bytes | None) -> None:
-    desk.notices.queue_notice("a", "dead", 0)
-    call, first = await desk.next_post()
+async def test_only_204_acknowledges_a_notice(sender: SenderAndPlatform, answer: bytes | None) -> None:
+    sender.notices.queue_notice("a", "dead", 0)
+    call, first = await sender.next_post()
     if answer is None:
         call.abort()
     else:
         call.send_raw(answer)
-    call, again = await desk.next_post()
-    assert again == first and desk.told == []
-    take(call)
-    await until(lambda: not desk.notices.queue)
-    assert desk.told == ["a"]
+    call, again = await sender.next_post()
+    assert again == first and sender.acknowledged == []
+    acknowledge(call)
+    await until(lambda: not sender.notices.queue)
+    assert sender.acknowledged == ["a"]
 
 
-async def test_silent_platform_is_asked_again_on_a_new_connection(
-    desk: Desk, monkeypatch: pytest.MonkeyPatch
+async def test_post_without_an_answer_is_repeated_on_a_new_connection(
+    sender: SenderAndPlatform, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(notices, "RESPONSE_TIMEOUT", 0.1)
-    desk.notices.queue_notice("a", "dead", 0)
-    silent, _ = await desk.next_post()
-    again, lines = await desk.next_post()
+    sender.notices.queue_notice("a", "dead", 0)
+    silent, _ = await sender.next_post()
+    again, lines = await sender.next_post()
     assert again.connection != silent.connection and lines == [{"ref": "a", "result": "dead"}]
 
 
-async def test_connection_that_the_platform_closed_in_between_is_opened_anew(desk: Desk) -> None:
-    desk.notices.queue_notice("a", "dead", 0)
-    first, _ = await desk.next_post()
+async def test_connection_closed_by_the_platform_is_reopened(sender: SenderAndPlatform) -> None:
+    sender.notices.queue_notice("a", "dead", 0)
+    first, _ = await sender.next_post()
     first.send_raw(b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
-    await until(lambda: not desk.notices.queue)
-    desk.notices.queue_notice("b", "dead", 0)
-    second, lines = await desk.next_post()
+    await until(lambda: not sender.notices.queue)
+    sender.notices.queue_notice("b", "dead", 0)
+    second, lines = await sender.next_post()
     assert second.connection != first.connection and [line["ref"] for line in lines] == ["b"]
 
 
-async def test_bodies_stay_within_64_kib(desk: Desk) -> None:
+async def test_bodies_stay_within_64_kib(sender: SenderAndPlatform) -> None:
     refs = [f"{n:0200}" for n in range(400)]
     for ref in refs:
-        desk.notices.queue_notice(ref, "dead", 0)
+        sender.notices.queue_notice(ref, "dead", 0)
     got: list[object] = []
     while len(got) < len(refs):
-        call, lines = await desk.next_post()
+        call, lines = await sender.next_post()
         assert len(call.body) <= 64 * 1024
         got += [line["ref"] for line in lines]
-        take(call)
+        acknowledge(call)
     assert got == refs
 
 
-async def test_what_is_queued_during_a_post_goes_with_the_next(desk: Desk) -> None:
-    desk.notices.queue_notice("a", "dead", 0)
-    call, _ = await desk.next_post()
-    desk.notices.queue_notice("b", "dead", 0)
-    take(call)
-    _, lines = await desk.next_post()
-    assert [line["ref"] for line in lines] == ["b"] and desk.told == ["a"]
+async def test_notice_queued_during_a_post_is_sent_with_the_next(sender: SenderAndPlatform) -> None:
+    sender.notices.queue_notice("a", "dead", 0)
+    call, _ = await sender.next_post()
+    sender.notices.queue_notice("b", "dead", 0)
+    acknowledge(call)
+    _, lines = await sender.next_post()
+    assert [line["ref"] for line in lines] == ["b"] and sender.acknowledged == ["a"]
 
 
-async def test_close_ends_the_connection(desk: Desk) -> None:
-    desk.notices.queue_notice("a", "dead", 0)
-    call, _ = await desk.next_post()
-    desk.notices.close()
+async def test_close_closes_the_connection(sender: SenderAndPlatform) -> None:
+    sender.notices.queue_notice("a", "dead", 0)
+    call, _ = await sender.next_post()
+    sender.notices.close()
     async with asyncio.timeout(20):
-        assert await desk.platform.closed.get() == call.connection
+        assert await sender.platform.closed.get() == call.connection
 
 
-async def test_silent_connection_delays_no_notice_beyond_its_bound(desk: Desk) -> None:
-    """A notice is late 300 ms after its time; the one before it meets a connection that says nothing."""
+async def test_silent_connection_delays_no_notice_beyond_its_limit(sender: SenderAndPlatform) -> None:
+    """A notice is late after 300 ms; the one before it was sent on a connection without an answer."""
     assert notices.RESPONSE_TIMEOUT <= 0.15
-    desk.notices.queue_notice("a", "dead", 0)
-    call, _ = await desk.next_post()
-    take(call)
-    await until(lambda: not desk.notices.queue)
-    desk.notices.queue_notice("b", "dead", 0)
-    silent, _ = await desk.next_post()
-    desk.notices.queue_notice("c", "dead", 0)
-    again, lines = await desk.next_post()
+    sender.notices.queue_notice("a", "dead", 0)
+    call, _ = await sender.next_post()
+    acknowledge(call)
+    await until(lambda: not sender.notices.queue)
+    sender.notices.queue_notice("b", "dead", 0)
+    silent, _ = await sender.next_post()
+    sender.notices.queue_notice("c", "dead", 0)
+    again, lines = await sender.next_post()
     assert again.connection != silent.connection and [line["ref"] for line in lines] == ["b", "c"]
-    assert desk.notices.failures == 1  # and no pause before it
+    assert sender.notices.failures == 1  # retried without backoff
 
 
 @pytest.mark.parametrize("error", [h11.LocalProtocolError("ours"), RuntimeError("anything")])
-async def test_no_error_ends_the_notices(
-    desk: Desk, monkeypatch: pytest.MonkeyPatch, error: Exception
+async def test_errors_do_not_stop_the_sender(
+    sender: SenderAndPlatform, monkeypatch: pytest.MonkeyPatch, error: Exception
 ) -> None:
-    post, errors = desk.notices._post, [error]
+    post, errors = sender.notices._post, [error]
 
-    async def fails_once(*args: Any) -> int:
+    async def fail_once(*args: Any) -> int:
         if errors:
             raise errors.pop()
         return await post(*args)
 
-    monkeypatch.setattr(desk.notices, "_post", fails_once)
-    desk.notices.queue_notice("a", "dead", 0)
-    call, _ = await desk.next_post()
-    take(call)
-    await until(lambda: desk.told == ["a"])
+    monkeypatch.setattr(sender.notices, "_post", fail_once)
+    sender.notices.queue_notice("a", "dead", 0)
+    call, _ = await sender.next_post()
+    acknowledge(call)
+    await until(lambda: sender.acknowledged == ["a"])
 
 
-async def test_slow_platform_is_given_more_time_each_time(desk: Desk) -> None:
-    desk.notices.queue_notice("a", "dead", 0)
+async def test_response_timeout_grows_for_a_slow_platform(sender: SenderAndPlatform) -> None:
+    sender.notices.queue_notice("a", "dead", 0)
     for _ in range(3):
-        await desk.next_post()
-    call, _ = await desk.next_post()
-    assert desk.notices.failures >= 3
-    take(call)
-    await until(lambda: desk.told == ["a"] and not desk.notices.failures)
+        await sender.next_post()
+    call, _ = await sender.next_post()
+    assert sender.notices.failures >= 3
+    acknowledge(call)
+    await until(lambda: sender.acknowledged == ["a"] and not sender.notices.failures)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The relay as a process of its own: kills, planned restarts, a start that cannot be."""
+"""Tests of the relay as a separate process: kills, graceful shutdowns, failed starts."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tests.sockets import PATIENCE, Client, Field, Platform
 
 
-async def test_killed_relay_still_owes_each_message_its_end(field: Field, process: Process) -> None:
+async def test_killed_relay_still_finishes_each_message(field: Field, process: Process) -> None:
     client = await process.start()
-    for ref, klass in (("u", "unsafe"), ("k", "keyed"), ("s", "safe")):
-        assert await client.enqueue(ref, klass) == b"OK"
-        await field.host.next_call()  # out, without an outcome
+    for ref, class_name in (("u", "unsafe"), ("k", "keyed"), ("s", "safe")):
+        assert await client.enqueue(ref, class_name) == b"OK"
+        await field.host.next_call()  # in flight, without an outcome
     await process.stop(signal.SIGKILL)
     await process.start()
     assert await field.platform.next_notice() == {"ref": "u", "result": "dead"}
@@ -34,13 +34,15 @@
     assert Journal(field.state, 3_000_000).entries == {}
 
 
-async def test_what_ended_while_it_was_down_is_told_at_its_start(field: Field, process: Process) -> None:
+async def test_messages_that_ended_while_the_relay_was_down_are_notified_at_startup(
+    field: Field, process: Process
+) -> None:
     journal = Journal(field.state, 3_000_000)
-    late = JournalEntry("late", "unsafe", 3, None, 1000, b"x")
-    late_ran = JournalEntry(
+    expired = JournalEntry("late", "unsafe", 3, None, 1000, b"x")
+    expired_may_have_run = JournalEntry(
         "late-ran", "keyed", 3, "k", 1000, b"x", attempts=1, trying_at=900, trying_zone="north"
     )
-    for entry in (late, late_ran, JournalEntry("untold", "safe", 3, None, 1000, b"x")):
+    for entry in (expired, expired_may_have_run, JournalEntry("untold", "safe", 3, None, 1000, b"x")):
         journal.accept(entry)
     journal.record_finish("untold", "bounced", 700)
     journal.close()
@@ -54,8 +56,10 @@
     assert field.host.calls.empty()
 
 
-async def test_keyed_message_goes_again_in_its_building_and_window(field: Field, process: Process) -> None:
-    """The host that is listed stands in the north."""
+async def test_keyed_message_is_retried_only_in_its_zone_and_deduplication_window(
+    field: Field, process: Process
+) -> None:
+    """The listed endpoint is in the zone north."""
     now = monotonic_ms()
     journal = Journal(field.state, 3_000_000)
     for ref, zone, ago in (("here", "north", 100), ("elsewhere", "south", 100), ("stale", "north", 7000)):
@@ -71,16 +75,18 @@
     assert set(Journal(field.state, 3_000_000).entries) == {"elsewhere"}
 
 
-async def test_planned_end_finishes_calls_and_closes_between_requests(field: Field, process: Process) -> None:
+async def test_graceful_shutdown_finishes_calls_and_closes_clients_between_requests(
+    field: Field, process: Process
+) -> None:
     client = await process.start()
     assert await client.enqueue("m1", "unsafe") == b"OK"
     call = await field.host.next_call()
     assert process.child is not None
     process.child.send_signal(signal.SIGTERM)
-    late = await Client.connect(process.port)  # new connections still come
+    late = await Client.connect(process.port)  # new connections are still accepted
     assert await late.enqueue("m2") == b"OK"
     second = await field.host.next_call()
-    assert await client.read() is None and await late.read() is None  # closed, with nothing owed
+    assert await client.read() is None and await late.read() is None  # closed without an outstanding answer
     call.answer(200)
     second.answer(200)
     async with asyncio.timeout(PATIENCE):
@@ -91,42 +97,44 @@
 async def test_sighup_moves_discovery_and_notices(field: Field, process: Process) -> None:
     client = await process.start()
     await field.platform.next_watch()
-    moved = Platform()
-    await moved.start()
+    new_platform = Platform()
+    await new_platform.start()
     assert process.child is not None
-    Path(field.environment()["RELAY_CONFIG"]).write_text("{")  # half a file changes nothing
+    Path(field.environment()["RELAY_CONFIG"]).write_text("{")  # an incomplete file changes nothing
     process.child.send_signal(signal.SIGHUP)
     assert process.child.stderr is not None
     async with asyncio.timeout(PATIENCE):
         while b"stays as it was" not in (line := await process.child.stderr.readline()):
             assert line, "the relay ended"
-    old, field.platform = field.platform, moved
+    old_platform, field.platform = field.platform, new_platform
     field.environment(process.port)
     process.child.send_signal(signal.SIGHUP)
-    watch = await moved.next_watch()
+    watch = await new_platform.next_watch()
     assert watch.call.line == "GET /api/targets?follow=1&since=41 HTTP/1.1"
     assert await client.enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(500)
-    assert await moved.next_notice() == {"ref": "m1", "result": "dead"}
-    assert old.notices.empty()
+    assert await new_platform.next_notice() == {"ref": "m1", "result": "dead"}
+    assert old_platform.notices.empty()
     assert await process.stop(signal.SIGTERM) == 0
-    await old.stop()
+    await old_platform.stop()
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "expected"),
     [
         ("{", "not JSON"),
         ("[]", "not an object"),
         ('{"settings":{}}', "is missing"),
     ],
 )
-async def test_bad_configuration_is_one_line_and_a_failed_start(field: Field, text: str, says: str) -> None:
+async def test_invalid_configuration_logs_one_line_and_fails_the_start(
+    field: Field, text: str, expected: str
+) -> None:
     environment = {**os.environ, **field.environment()}
     Path(environment["RELAY_CONFIG"]).write_text(text)
     child = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "garnetrelay", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
     )
     async with asyncio.timeout(PATIENCE):
-        _, told = await child.communicate()
-    assert child.returncode == 2 and told.count(b"\n") == 1 and says.encode() in told
+        _, output = await child.communicate()
+    assert child.returncode == 2 and output.count(b"\n") == 1 and expected.encode() in output
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,5 +1,7 @@
-"""System calls on sockets fail for a moment, as Linux documents: nobody loses an answer, and no destination
-is blamed for what is wrong with our own machine."""
+"""System calls on sockets fail temporarily with errors that Linux documents.
+
+No client loses an answer, and local errors count against no destination.
+"""
 
 from __future__ import annotations
 
@@ -43,31 +45,31 @@
 
 
 class FailingListener:
-    """A listening socket whose ``accept`` fails a few times before each connection that it hands out."""
+    """A listening socket whose ``accept`` fails a few times before each connection that it returns."""
 
-    def __init__(self, listener: socket.socket, number: int, times: int) -> None:
+    def __init__(self, listener: socket.socket, error_number: int, times: int) -> None:
         self.listener = listener
-        self.number = number
+        self.error_number = error_number
         self.times = times
-        self.left = times
+        self.remaining_failures = times
 
     def accept(self) -> Any:
-        if self.left:
-            self.left -= 1
-            raise OSError(self.number, os.strerror(self.number))
+        if self.remaining_failures:
+            self.remaining_failures -= 1
+            raise OSError(self.error_number, os.strerror(self.error_number))
         accepted = self.listener.accept()
-        self.left = self.times
+        self.remaining_failures = self.times
         return accepted
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.listener, name)
 
 
-@pytest.mark.parametrize("number", ACCEPT_ERRORS)
-async def test_clients_that_wait_as_the_relay_stops_listening_are_served_though_accept_fails(
-    field: Field, number: int
+@pytest.mark.parametrize("error_number", ACCEPT_ERRORS)
+async def test_clients_waiting_when_the_listener_closes_are_served_despite_accept_errors(
+    field: Field, error_number: int
 ) -> None:
-    """Five have connected and asked; each accept fails once or twice before it hands one out."""
+    """Five clients have connected and sent a request; accept fails twice before each connection."""
     await field.start()
     server = field.relays[0].server
     assert server._listener is not None and server.address is not None
@@ -75,7 +77,7 @@
     waiting = [await Client.connect(server.address[1]) for _ in range(5)]
     for count, client in enumerate(waiting):
         client.write("ENQUEUE", "0", f"m{count}", "c=safe,d=8000,dest=3", "x")
-    failing: Any = FailingListener(server._listener, number, 2)
+    failing: Any = FailingListener(server._listener, error_number, 2)
     server._listener = failing
     server.stop()
     assert [await client.read() for client in waiting] == [b"OK"] * 5
@@ -83,64 +85,66 @@
 
 
 class FailingConnects:
-    """Makes connections of the relay's pool fail while ``number`` is set."""
+    """Makes connects of the relay's connection pool fail while ``error_number`` is set."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, number: int) -> None:
-        self.number: int | None = number
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, error_number: int) -> None:
+        self.error_number: int | None = error_number
         self.failed = 0
         loop = asyncio.get_running_loop()
         connect = loop.sock_connect
 
-        async def fails(sock: socket.socket, address: Any) -> None:
-            if self.number is not None:
+        async def connect_or_fail(sock: socket.socket, address: Any) -> None:
+            if self.error_number is not None:
                 self.failed += 1
-                raise OSError(self.number, os.strerror(self.number))
+                raise OSError(self.error_number, os.strerror(self.error_number))
             await connect(sock, address)
 
-        monkeypatch.setattr(loop, "sock_connect", fails)
+        monkeypatch.setattr(loop, "sock_connect", connect_or_fail)
 
 
-def log_of(caplog: pytest.LogCaptureFixture) -> str:
+def log_text(caplog: pytest.LogCaptureFixture) -> str:
     return "\n".join(record.getMessage() for record in caplog.records)
 
 
-@pytest.mark.parametrize("number", LOCAL_ERRORS)
-async def test_connects_that_fail_by_our_own_machines_doing_count_against_no_destination(
-    field: Field, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, number: int
+@pytest.mark.parametrize("error_number", LOCAL_ERRORS)
+async def test_local_connect_errors_count_against_no_destination(
+    field: Field, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, error_number: int
 ) -> None:
-    """For longer than twelve attempts would last; then all that waited goes out."""
+    """The errors last longer than twelve attempts would; afterwards all waiting messages are sent."""
     caplog.set_level("INFO")
     client = await field.start()
     pacer = field.relays[0].pacer
-    failing = FailingConnects(monkeypatch, number)
+    failing = FailingConnects(monkeypatch, error_number)
     for count in range(3):
         assert await client.enqueue(f"m{count}", "unsafe") == b"OK"
     await until(lambda: failing.failed >= 20)
-    dest = pacer.routes[3][0]
-    assert (dest.failure_rate, dest.endpoints[0].failure_rate, dest.in_outage) == (0.0, 0.0, False)
-    failing.number = None
+    destination = pacer.routes[3][0]
+    assert (destination.failure_rate, destination.endpoints[0].failure_rate, destination.in_outage) == (
+        0.0,
+        0.0,
+        False,
+    )
+    failing.error_number = None
     for _ in range(3):
         (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].held_messages)
-    assert "outage" not in log_of(caplog) and not pacer.slow_start.is_active(dest, pacer.now)
-    assert log_of(caplog).count(os.strerror(number)) == 1
+    assert "outage" not in log_text(caplog) and not pacer.slow_start.is_active(destination, pacer.now)
+    assert log_text(caplog).count(os.strerror(error_number)) == 1
 
 
-@pytest.mark.parametrize("number", REMOTE_ERRORS)
-async def test_connects_that_fail_at_the_other_end_count_against_their_destination(
-    field: Field, monkeypatch: pytest.MonkeyPatch, number: int
+@pytest.mark.parametrize("error_number", REMOTE_ERRORS)
+async def test_remote_connect_errors_count_against_their_destination(
+    field: Field, monkeypatch: pytest.MonkeyPatch, error_number: int
 ) -> None:
     client = await field.start()
-    FailingConnects(monkeypatch, number)
+    FailingConnects(monkeypatch, error_number)
     assert await client.enqueue("m1", "unsafe") == b"OK"
-    dest = field.relays[0].pacer.routes[3][0]
-    await until(lambda: dest.failure_rate > 0)
+    destination = field.relays[0].pacer.routes[3][0]
+    await until(lambda: destination.failure_rate > 0)
 
 
-async def test_look_at_a_socket_that_fails_is_taken_for_the_harder_case(
-    field: Field, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """``poll`` may find no memory: an idle connection is not used then, and none is closed."""
+async def test_poll_error_assumes_the_worse_case(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
+    """``poll`` may run out of memory: then no idle connection is reused and none is closed."""
     client = await field.start()
     await field.warm_up(client)
 
@@ -160,7 +164,7 @@
     await until(lambda: not field.relays[0].held_messages)
 
 
-async def test_option_of_a_connection_that_cannot_be_set_costs_its_client_nothing(
+async def test_failed_socket_option_does_not_affect_the_client(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     await field.start()
@@ -168,45 +172,50 @@
     assert address is not None
     set_option = socket.socket.setsockopt
 
-    def fails(self: socket.socket, level: int, option: int, *value: Any) -> None:
+    def set_option_or_fail(self: socket.socket, level: int, option: int, *value: Any) -> None:
         if option == socket.TCP_NODELAY and self.getsockname()[1] == address[1]:
             raise OSError(errno.ENOBUFS, "No buffer space available")
         set_option(self, level, option, *value)
 
-    monkeypatch.setattr(socket.socket, "setsockopt", fails)
+    monkeypatch.setattr(socket.socket, "setsockopt", set_option_or_fail)
     client = await Client.connect(address[1])
     assert await client.enqueue("m1") == b"OK"
     (await field.host.next_call()).answer(200)
 
 
 @pytest.mark.parametrize("call", ["send", "recv_into"])
-async def test_read_or_write_that_fails_by_our_own_machines_doing_counts_against_no_destination(
+async def test_local_read_or_write_error_counts_against_no_destination(
     field: Field, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
-    """No buffer is left for an instant: the new connection is lost, and nothing is learned of its host."""
+    """No buffer is free for a moment: the new connection is lost and its endpoint's health is unchanged."""
     client = await field.start()
     port = int(field.host.address.rpartition(":")[2])
-    left = [1]
-    plain = getattr(socket.socket, call)
+    remaining_failures = [1]
+    original = getattr(socket.socket, call)
 
-    def fails(self: socket.socket, *args: Any) -> Any:
+    def call_or_fail(self: socket.socket, *args: Any) -> Any:
         peer = None
         with contextlib.suppress(OSError):
             peer = self.getpeername()[1]
-        if left[0] and peer == port:
-            left[0] -= 1
+        if remaining_failures[0] and peer == port:
+            remaining_failures[0] -= 1
             raise OSError(errno.ENOBUFS, "No buffer space available")
-        return plain(self, *args)
+        return original(self, *args)
 
-    monkeypatch.setattr(socket.socket, call, fails, raising=False)
+    monkeypatch.setattr(socket.socket, call, call_or_fail, raising=False)
     assert await client.enqueue("m1", "safe") == b"OK"
-    taken = await field.host.next_call()
-    taken.answer(200)
+    request = await field.host.next_call()
+    request.answer(200)
     if call == "recv_into":
         (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].held_messages)
-    dest = field.relays[0].pacer.routes[3][0]
-    assert (left[0], dest.failure_rate, dest.endpoints[0].failure_rate, dest.last_failure_at) == (
+    destination = field.relays[0].pacer.routes[3][0]
+    assert (
+        remaining_failures[0],
+        destination.failure_rate,
+        destination.endpoints[0].failure_rate,
+        destination.last_failure_at,
+    ) == (
         0,
         0.0,
         0.0,
