--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -234,7 +234,7 @@
         await until(lambda: not field.relays[0].held_messages)
 
 
-async def test_restarted_endpoint_closes_its_idle_connections(field: Field) -> None:
+async def test_idle_connections_of_a_restarted_endpoint_are_closed(field: Field) -> None:
     """A restarted endpoint has lost these connections, possibly without a FIN or reset."""
     client = await field.start()
     watch = await field.platform.next_watch()
