--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and events for tests of the module: made-up figures, no bench."""
+"""Settings, events and a harness for tests of the decision module, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -7,28 +7,31 @@
 from starlingwick import interface as io
 from starlingwick.control import Pacer
 
-S = 1_000_000_000
-MS = 1_000_000
+S = 1_000_000_000  # nanoseconds
+MS = 1_000_000  # nanoseconds
 
-SAFE, KEYED, UNSAFE, TURNS = 0, 1, 2, 3
+# Class indexes of the message classes in `settings()`.
+SAFE, KEYED, UNSAFE, ORDERED = 0, 1, 2, 3
 
 
-def klass(
-    repeat: io.Idempotency, scope: io.KeyScope = io.KeyScope.ALL, in_turn: bool = False
+def message_class(
+    idempotency: io.Idempotency, key_scope: io.KeyScope = io.KeyScope.ALL, ordered: bool = False
 ) -> io.MessageClass:
+    """Return a message class with a deadline of 20 s and a deduplication window of 10 s."""
     return io.MessageClass(
         target_latency=2 * S,
         deadline=20 * S,
         value=1.0,
         late_value=0.5,
-        idempotency=repeat,
-        key_scope=scope,
+        idempotency=idempotency,
+        key_scope=key_scope,
         deduplication_window=10 * S,
-        ordered=in_turn,
+        ordered=ordered,
     )
 
 
 def settings(**changes: Any) -> io.Settings:
+    """Return settings for tests; ``changes`` replace fields, ``rules`` and ``limits`` single entries."""
     rules: dict[str, Any] = dict(
         answer_slack=20 * MS,
         discovery_interval=10 * S,
@@ -62,10 +65,10 @@
         uses_listed_rates=False,
         value_decay=io.ValueDecay.LINEAR,
         classes=(
-            klass(io.Idempotency.SAFE),
-            klass(io.Idempotency.KEYED),
-            klass(io.Idempotency.UNSAFE),
-            klass(io.Idempotency.KEYED, in_turn=True),
+            message_class(io.Idempotency.SAFE),
+            message_class(io.Idempotency.KEYED),
+            message_class(io.Idempotency.UNSAFE),
+            message_class(io.Idempotency.KEYED, ordered=True),
         ),
         kinds=(
             io.DestinationKind(separate_routes=False, max_batch_size=1),
@@ -84,91 +87,99 @@
     return io.Settings(**values)
 
 
-def entry(
-    host: str,
-    dest: int = 1,
+def endpoint_entry(
+    endpoint: str,
+    destination: int = 1,
     kind: int = 0,
     zone: int = 0,
-    state: io.Availability = io.Availability.RUNNING,
+    availability: io.Availability = io.Availability.RUNNING,
     rate: float = 1.0,
 ) -> io.EndpointEntry:
-    return io.EndpointEntry(host, zone, kind, dest, state, rate)
+    return io.EndpointEntry(endpoint, zone, kind, destination, availability, rate)
 
 
-class Relay:
-    """Drives one Pacer and keeps what it did."""
+class PacerHarness:
+    """Drives one Pacer on a clock of its own and records its actions.
+
+    ``attempts`` and ``last_endpoints`` hold the number and the endpoint of the last attempt of each message.
+    """
 
     def __init__(self, *entries: io.EndpointEntry, seed: int = 7, at: int = 1000 * S, **changes: Any) -> None:
         self.settings = settings(**changes)
         self.pacer = Pacer(self.settings, seed)
         self.now = at
-        self.count = 0
+        self.message_count = 0
         self.attempts: dict[str, int] = {}
-        self.where: dict[str, str] = {}
-        self.actions: list[io.Action] = self.turn(io.EndpointUpdate(io.UpdateScope.CACHED, entries))
+        self.last_endpoints: dict[str, str] = {}
+        self.actions: list[io.Action] = self.handle(io.EndpointUpdate(io.UpdateScope.CACHED, entries))
 
-    def turn(self, *events: io.Event, after: int = 0) -> list[io.Action]:
+    def handle(self, *events: io.Event, after: int = 0) -> list[io.Action]:
+        """Run one planning pass, ``after`` nanoseconds after the previous one, and return its actions."""
         self.now += after
         self.actions = self.pacer.handle(self.now, events)
         for send in self.sends():
             self.attempts[send.message_id] = self.attempts.get(send.message_id, -1) + 1
-            self.where[send.message_id] = send.endpoint
+            self.last_endpoints[send.message_id] = send.endpoint
         return self.actions
 
     def message(
         self,
-        klass: int = SAFE,
-        dest: int = 1,
+        class_index: int = SAFE,
+        destination: int = 1,
         key: str | None = None,
         tenant: int = 0,
-        patience: int = 20 * S,
+        time_left: int = 20 * S,
     ) -> io.MessageArrived:
-        self.count += 1
-        return io.MessageArrived(f"m{self.count}", tenant, klass, dest, key, patience)
+        """Return the arrival of a new message; ids run m1, m2, ..."""
+        self.message_count += 1
+        return io.MessageArrived(f"m{self.message_count}", tenant, class_index, destination, key, time_left)
 
-    def verdict(
+    def attempt_ended(
         self,
-        call: str,
+        message_id: str,
         status: io.Status,
-        wait: int = 0,
-        cost: int = 100 * MS,
+        retry_after: int = 0,
+        duration: int = 100 * MS,
         report: io.LoadReport | None = None,
     ) -> io.AttemptEnded:
+        """Return the end of the message's last attempt."""
         return io.AttemptEnded(
-            call,
-            self.attempts[call],
-            self.where[call],
+            message_id,
+            self.attempts[message_id],
+            self.last_endpoints[message_id],
             status,
-            cost,
+            duration,
             status is io.Status.OK,
-            wait,
+            retry_after,
             False,
             report,
         )
 
     def sends(self) -> list[io.Send]:
+        """Return the sends of the last planning pass."""
         return [a for a in self.actions if isinstance(a, io.Send)]
 
-    def of(self, kind: type) -> list[Any]:
+    def actions_of(self, kind: type) -> list[Any]:
+        """Return the last planning pass's actions of one type."""
         return [a for a in self.actions if isinstance(a, kind)]
 
-    def serve(self, n: int = 1, klass: int = SAFE, dest: int = 1) -> None:
-        """n messages, one after the other, each delivered."""
-        for _ in range(n):
-            self.turn(self.message(klass, dest), after=100 * MS)
+    def serve(self, count: int = 1, class_index: int = SAFE, destination: int = 1) -> None:
+        """Deliver this many messages, one after the other."""
+        for _ in range(count):
+            self.handle(self.message(class_index, destination), after=100 * MS)
             for send in self.sends():
-                self.turn(self.verdict(send.message_id, io.Status.OK), after=100 * MS)
+                self.handle(self.attempt_ended(send.message_id, io.Status.OK), after=100 * MS)
 
-    def try_all(self, status: io.Status, n: int, wait: int = 0) -> None:
-        """Let whatever is sent come back with this outcome until n attempts did."""
-        done = 0
+    def finish_attempts(self, status: io.Status, count: int, retry_after: int = 0) -> None:
+        """End the attempts in flight with this status, one after the other, until ``count`` have ended."""
+        finished = 0
         for _ in range(400):
-            out = [m.message_id for m in self.pacer.messages.values() if m.call is not None]
-            if done >= n:
+            in_flight = [m.message_id for m in self.pacer.messages.values() if m.call is not None]
+            if finished >= count:
                 return
-            if out:
-                self.turn(self.verdict(out[0], status, wait), after=10 * MS)
-                done += 1
+            if in_flight:
+                self.handle(self.attempt_ended(in_flight[0], status, retry_after), after=10 * MS)
+                finished += 1
             else:
-                self.turn(after=100 * MS)
-        raise AssertionError(f"only {done} of {n} attempts were sent")
+                self.handle(after=100 * MS)
+        raise AssertionError(f"only {finished} of {count} attempts were sent")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,31 +6,31 @@
 
 from starlingwick import interface as io
 from starlingwick.control import CLIMB_EVERY, CLIMB_SHARE, CUT
-from tests.helpers import MS, Relay, S, entry
+from tests.helpers import MS, PacerHarness, S, endpoint_entry
 
 STEP = 50 * MS
 LOST = io.EndpointUpdate(io.UpdateScope.FAILED, ())
 
 
-def fleet(relays: int) -> list[Relay]:
+def fleet(relays: int) -> list[PacerHarness]:
     return [
-        Relay(entry("a"), seed=seed, relays=relays, discovery=io.DiscoveryMode.SUBSCRIBE)
+        PacerHarness(endpoint_entry("a"), seed=seed, relays=relays, discovery=io.DiscoveryMode.SUBSCRIBE)
         for seed in range(relays)
     ]
 
 
-def calls_for_the_list(relays: list[Relay], seconds: int) -> list[int]:
+def calls_for_the_list(relays: list[PacerHarness], seconds: int) -> list[int]:
     """Calls for the list in each second after all watches break at once. Each call fails."""
     for relay in relays:
-        relay.turn(io.EndpointUpdate(io.UpdateScope.DELTA, ()))
-        relay.turn(LOST)
+        relay.handle(io.EndpointUpdate(io.UpdateScope.DELTA, ()))
+        relay.handle(LOST)
     asked = [0] * seconds
     for step in range(seconds * S // STEP):
         for relay in relays:
-            relay.turn(after=STEP)
-            if relay.of(io.Subscribe):
+            relay.handle(after=STEP)
+            if relay.actions_of(io.Subscribe):
                 asked[step * STEP // S] += 1
-                relay.turn(LOST)
+                relay.handle(LOST)
     return asked
 
 
@@ -59,21 +59,23 @@
 def test_relays_with_more_than_an_even_part_are_not_let_loose_by_the_first_climb(relays: int) -> None:
     """Traffic is uneven: what a busy relay was cut to lies above an even part of the listed rate."""
     busy = [
-        Relay(entry("a", rate=2.0 * relays), seed=seed, relays=relays, uses_listed_rates=True)
+        PacerHarness(endpoint_entry("a", rate=2.0 * relays), seed=seed, relays=relays, uses_listed_rates=True)
         for seed in range(3)
     ]
     for relay in busy:
         relay.serve(10)
-        relay.turn(*[relay.message() for _ in range(3)])
-        relay.turn(*[relay.verdict(send.message_id, io.Status.FULL) for send in relay.sends()], after=50 * MS)
+        relay.handle(*[relay.message() for _ in range(3)])
+        relay.handle(
+            *[relay.attempt_ended(send.message_id, io.Status.FULL) for send in relay.sends()], after=50 * MS
+        )
         dest = relay.pacer.routes[1][0]
         cut = dest.rate_limit
         assert cut is not None and cut > 2.0
-        relay.turn(after=CLIMB_EVERY)
+        relay.handle(after=CLIMB_EVERY)
         assert dest.rate_limit == pytest.approx(cut + CLIMB_SHARE * (cut / CUT - cut))
         for _ in range(12):
-            relay.turn(relay.message(), after=CLIMB_EVERY)
-            relay.turn(
-                *[relay.verdict(send.message_id, io.Status.OK) for send in relay.sends()], after=10 * MS
+            relay.handle(relay.message(), after=CLIMB_EVERY)
+            relay.handle(
+                *[relay.attempt_ended(send.message_id, io.Status.OK) for send in relay.sends()], after=10 * MS
             )
         assert dest.rate_limit is None  # it reaches what it was cut from, and goes
--- a/tests/test_introduced.py
+++ b/tests/test_introduced.py
@@ -9,7 +9,7 @@
 from garnetrelay.catalog import Catalog
 from starlingwick import control
 from starlingwick import interface as io
-from tests.helpers import MS, UNSAFE, Relay, S, entry
+from tests.helpers import MS, UNSAFE, PacerHarness, S, endpoint_entry
 from tests.sockets import Field, HttpServer, endpoint, listing, until
 
 USED = 8
@@ -20,41 +20,41 @@
     monkeypatch.setattr(control, "MAX_LOADED_DESTINATIONS", USED)
 
 
-def introduced(relay: Relay, dest: int) -> None:
-    relay.turn(io.DestinationLoaded(dest, (entry(f"h{dest}", dest),)))
+def introduced(relay: PacerHarness, dest: int) -> None:
+    relay.handle(io.DestinationLoaded(dest, (endpoint_entry(f"h{dest}", dest),)))
 
 
-def serve_many(relay: Relay, dests: range) -> set[int]:
+def serve_many(relay: PacerHarness, dests: range) -> set[int]:
     """A message for each, delivered; those that were let go meanwhile."""
     released: set[int] = set()
 
     def turn(*events: io.Event, after: int = 0) -> None:
-        relay.turn(*events, after=after)
-        released.update(action.destination for action in relay.of(io.EvictDestination))
+        relay.handle(*events, after=after)
+        released.update(action.destination for action in relay.actions_of(io.EvictDestination))
 
     for dest in dests:
-        turn(io.DestinationLoaded(dest, (entry(f"h{dest}", dest),)))
-        turn(relay.message(dest=dest), after=100 * MS)
+        turn(io.DestinationLoaded(dest, (endpoint_entry(f"h{dest}", dest),)))
+        turn(relay.message(destination=dest), after=100 * MS)
         (send,) = relay.sends()
-        turn(relay.verdict(send.message_id, io.Status.OK), after=100 * MS)
+        turn(relay.attempt_ended(send.message_id, io.Status.OK), after=100 * MS)
     return released
 
 
 def test_longest_unused_destinations_are_let_go_and_nothing_else_changes(few: None) -> None:
-    relay = Relay()
+    relay = PacerHarness()
     assert serve_many(relay, range(1, 101)) == set(range(1, 101 - USED))
     assert set(relay.pacer.routes) == set(range(101 - USED, 101)) == set(relay.pacer.loaded_destinations)
     assert set(relay.pacer.endpoints) == {f"h{dest}" for dest in range(101 - USED, 101)}
     introduced(relay, 1)
-    relay.turn(relay.message(dest=1))
+    relay.handle(relay.message(destination=1))
     assert [send.endpoint for send in relay.sends()] == ["h1"]
 
 
 def test_destination_in_use_is_the_last_to_be_let_go(few: None) -> None:
-    relay = Relay()
+    relay = PacerHarness()
     introduced(relay, 1)
     for dest in range(2, 60):
-        relay.serve(dest=1)
+        relay.serve(destination=1)
         assert 1 not in serve_many(relay, range(dest, dest + 1))
 
 
@@ -70,12 +70,12 @@
 )
 def test_what_binds_is_not_forgotten(few: None, status: io.Status, wait: int) -> None:
     """A told wait, a doubt of its health or a cold return (rules 4 and 6) outlast any number of others."""
-    relay = Relay()
+    relay = PacerHarness()
     introduced(relay, 1)
-    relay.turn(relay.message(dest=1))
-    relay.turn(relay.verdict("m1", status, wait), io.MessageWithdrawn("m1"))
+    relay.handle(relay.message(destination=1))
+    relay.handle(relay.attempt_ended("m1", status, wait), io.MessageWithdrawn("m1"))
     until_then = relay.pacer.routes[1][0].retry_after_until
-    relay.turn(io.MessageWithdrawn("m1"))
+    relay.handle(io.MessageWithdrawn("m1"))
     released = serve_many(relay, range(2, 40))
     if status is io.Status.FULL and not wait:
         return  # a refusal alone binds for its own pause
@@ -84,33 +84,35 @@
 
 
 def test_destination_with_a_message_or_a_call_is_not_let_go(few: None) -> None:
-    relay = Relay()
+    relay = PacerHarness()
     introduced(relay, 1)
     introduced(relay, 2)
-    relay.turn(relay.message(UNSAFE, dest=1))
-    relay.turn(
-        io.EndpointUpdate(io.UpdateScope.DELTA, (entry("h2", 2, state=io.Availability.STOPPING),)),
-        relay.message(dest=2),
+    relay.handle(relay.message(UNSAFE, destination=1))
+    relay.handle(
+        io.EndpointUpdate(
+            io.UpdateScope.DELTA, (endpoint_entry("h2", 2, availability=io.Availability.STOPPING),)
+        ),
+        relay.message(destination=2),
     )
     assert serve_many(relay, range(3, 60)).isdisjoint({1, 2})
     assert relay.pacer.messages["m1"].call is not None and "m2" in relay.pacer.waiting_messages[2]
 
 
 def test_destination_without_hosts_is_let_go_too(few: None) -> None:
-    relay = Relay()
+    relay = PacerHarness()
     for dest in range(1, 50):
-        relay.turn(io.DestinationLoaded(dest, ()))
+        relay.handle(io.DestinationLoaded(dest, ()))
     for _ in range(30):
-        relay.turn(after=MS)
+        relay.handle(after=MS)
     assert len(relay.pacer.loaded_destinations) == USED
 
 
 def test_listed_destinations_are_never_let_go(few: None) -> None:
     """Where a list is told whole, as in the simulator, nobody could introduce them again."""
-    relay = Relay(*(entry(f"h{dest}", dest) for dest in range(1, 50)))
+    relay = PacerHarness(*(endpoint_entry(f"h{dest}", dest) for dest in range(1, 50)))
     for dest in range(1, 50):
-        relay.serve(dest=dest)
-        assert not relay.of(io.EvictDestination)
+        relay.serve(destination=dest)
+        assert not relay.actions_of(io.EvictDestination)
     assert len(relay.pacer.routes) == 49
 
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -16,7 +16,7 @@
 from starlingwick import interface as io
 from starlingwick import wirehost
 from starlingwick.control import HEALTH_LOG_WORDS
-from tests.helpers import MS, SAFE, TURNS, UNSAFE, Relay, S, entry
+from tests.helpers import MS, ORDERED, SAFE, UNSAFE, PacerHarness, S, endpoint_entry
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -91,9 +91,9 @@
 def test_wrong_settings_name_the_field() -> None:
     for changes, field in (({"max_calls": 0}, "familyInfo.callsOut"), ({"relays": 0}, "relays")):
         with pytest.raises(ValueError, match=field):
-            Relay(entry("a"), **changes)
+            PacerHarness(endpoint_entry("a"), **changes)
     with pytest.raises(ValueError, match="rules.fall"):
-        Relay(entry("a"), rules={"overload_window": 0})
+        PacerHarness(endpoint_entry("a"), rules={"overload_window": 0})
 
 
 def test_module_stays_within_its_size() -> None:
@@ -105,14 +105,14 @@
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
     def day() -> list[str]:
-        relay = Relay(entry("a"), entry("b"))
+        relay = PacerHarness(endpoint_entry("a"), endpoint_entry("b"))
         seen: list[str] = []
         for n in range(60):
-            relay.turn(relay.message(n % 3), after=50 * MS)
+            relay.handle(relay.message(n % 3), after=50 * MS)
             seen += map(str, relay.actions)
             status = io.Status.FULL if n % 5 == 0 else io.Status.OK
             for send in relay.sends():
-                relay.turn(relay.verdict(send.message_id, status), after=10 * MS)
+                relay.handle(relay.attempt_ended(send.message_id, status), after=10 * MS)
                 seen += map(str, relay.actions)
         return seen
 
@@ -125,7 +125,7 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 20), st.integers(1, 900)), max_size=80))
 def test_random_walks_keep_the_rules(steps: list[tuple[int, int, int]]) -> None:
-    relay = Relay(entry("a"), entry("b"), limits={"max_held": 30})
+    relay = PacerHarness(endpoint_entry("a"), endpoint_entry("b"), limits={"max_held": 30})
     ended: set[str] = set()
     unsafe_ran: set[str] = set()
     classes: dict[str, int] = {}
@@ -142,7 +142,7 @@
                 assert action.message_id not in unsafe_ran
                 assert relay.now >= wait_until or not batch_start
                 assert relay.now < due[action.message_id]
-                if classes[action.message_id] == TURNS:
+                if classes[action.message_id] == ORDERED:
                     before = keyed[: keyed.index(action.message_id)]
                     assert all(name in ended and name not in outstanding for name in before)
                 outstanding[action.message_id] = action
@@ -155,12 +155,12 @@
     for what, which, gap in steps:
         relay.now += gap * MS
         if what < 5 or not outstanding:
-            klass = (SAFE, 1, UNSAFE, TURNS)[which % 4]
-            message = relay.message(klass, key="k" if klass == TURNS else None)
+            klass = (SAFE, 1, UNSAFE, ORDERED)[which % 4]
+            message = relay.message(klass, key="k" if klass == ORDERED else None)
             classes[message.message_id], due[message.message_id] = klass, relay.now + message.time_left
-            if klass == TURNS:
+            if klass == ORDERED:
                 keyed.append(message.message_id)
-            relay.turn(message)
+            relay.handle(message)
         else:
             name = sorted(outstanding)[which % len(outstanding)]
             status = STATUSES[(which + what) % len(STATUSES)]
@@ -178,7 +178,7 @@
             wait = 500 * MS if status is io.Status.FULL and which % 2 else 0
             if wait:
                 wait_until = max(wait_until, relay.now + wait)
-            relay.turn(relay.verdict(name, status, wait=wait))
+            relay.handle(relay.attempt_ended(name, status, retry_after=wait))
         check()
     for _ in range(len(outstanding)):
         name = next(iter(outstanding))
@@ -186,15 +186,15 @@
         relay.now = max(relay.now, due[name])
         if classes[name] == UNSAFE:
             unsafe_ran.add(name)
-        relay.turn(relay.verdict(name, io.Status.TIMEOUT))
+        relay.handle(relay.attempt_ended(name, io.Status.TIMEOUT))
         check()
         if not outstanding:
             break
-    relay.turn(after=21 * S)
+    relay.handle(after=21 * S)
     check()
     while outstanding:
         name, _ = outstanding.popitem()
-        relay.turn(relay.verdict(name, io.Status.TIMEOUT), after=30 * S)
+        relay.handle(relay.attempt_ended(name, io.Status.TIMEOUT), after=30 * S)
         check()
     assert set(classes) == ended
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -6,7 +6,7 @@
 
 from garnetrelay.metrics import MessageEnd, Metrics
 from starlingwick import interface as io
-from tests.helpers import S, Relay, entry
+from tests.helpers import PacerHarness, S, endpoint_entry
 from tests.sockets import Field, endpoint, listing, until
 
 
@@ -135,10 +135,10 @@
 
 
 def test_endpoints_of_a_destination_in_an_outage_are_avoided() -> None:
-    relay = Relay(entry("a"), entry("b"), entry("c", dest=2))
+    relay = PacerHarness(endpoint_entry("a"), endpoint_entry("b"), endpoint_entry("c", destination=2))
     assert relay.pacer.endpoint_counts(relay.now) == (3, 0)
-    relay.turn(relay.message())
-    relay.try_all(io.Status.CONNECT_FAILED, 3)
+    relay.handle(relay.message())
+    relay.finish_attempts(io.Status.CONNECT_FAILED, 3)
     assert relay.pacer.endpoint_counts(relay.now + S) == (3, 2)
 
 
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -56,7 +56,7 @@
 from starlingwick.control import Pacer
 from starlingwick.health_record import to_record
 from starlingwick.settings import parse_settings
-from tests.helpers import MS, Relay, S, entry
+from tests.helpers import MS, PacerHarness, S, endpoint_entry
 from tests.sockets import Field, endpoint, until
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -233,22 +233,22 @@
 
 # Guards against an upgrade after which a told wait, a rate limit or slow start is forgotten.
 def test_handed_over_state_keeps_its_names_in_both_directions() -> None:
-    relay = Relay(entry("a", rate=3.0))
+    relay = PacerHarness(endpoint_entry("a", rate=3.0))
     fresh = relay.pacer.handover_state()
     assert list(fresh) == ["started", "dests", "hosts"]
     assert list(fresh["dests"]["a"]) == list(LEARNED_OF_DESTINATION)
     assert len(fresh["hosts"]["a"]) == len(LEARNED_OF_HOST)
-    relay.turn(io.PredecessorState(json.loads(json.dumps(LEARNED))))
+    relay.handle(io.PredecessorState(json.loads(json.dumps(LEARNED))))
     assert json.dumps(relay.pacer.handover_state()) == json.dumps(LEARNED)
 
 
 # Guards against a host's or destination's fact that goes over under another's name.
 def test_handed_over_state_holds_what_the_pacer_decided() -> None:
-    relay = Relay(entry("a"), kinds=(io.DestinationKind(False, 1),))
+    relay = PacerHarness(endpoint_entry("a"), kinds=(io.DestinationKind(False, 1),))
     relay.serve(2)
-    relay.turn(relay.message(), after=S)
+    relay.handle(relay.message(), after=S)
     (send,) = relay.sends()
-    relay.turn(relay.verdict(send.message_id, io.Status.FULL, wait=2 * S), after=100 * MS)
+    relay.handle(relay.attempt_ended(send.message_id, io.Status.FULL, retry_after=2 * S), after=100 * MS)
     known = relay.pacer.handover_state()
     facts, host = known["dests"]["a"], known["hosts"]["a"]
     assert facts["wait_until"] >= relay.now + 2 * S
@@ -306,7 +306,7 @@
 
 # Guards against health that the next life, of this version or another, takes for something else.
 def test_health_records_keep_their_order_and_form(tmp_path: Path) -> None:
-    relay = Relay(entry("a", dest=7))
+    relay = PacerHarness(endpoint_entry("a", destination=7))
     names = (
         "bad",
         "out",
@@ -319,7 +319,7 @@
         "served_before",
     )
     facts = LEARNED_OF_DESTINATION | dict(zip(names, HEALTH_RECORD[2:], strict=True))
-    relay.turn(io.PredecessorState({"started": 1, "dests": {"a": facts}, "hosts": {}}))
+    relay.handle(io.PredecessorState({"started": 1, "dests": {"a": facts}, "hosts": {}}))
     record = to_record(relay.pacer.routes[7][0])
     assert list(astuple(record)) == HEALTH_RECORD
     store = HealthStore(tmp_path, 4096)
@@ -328,8 +328,8 @@
     expected = checked([1, boot_id()]) + checked(HEALTH_RECORD)
     assert (tmp_path / "health").read_bytes() == expected
     assert [list(astuple(found)) for found in HealthStore(tmp_path, 4096).load(1000)] == [HEALTH_RECORD]
-    restored = Relay(entry("a", dest=7))
-    restored.turn(io.HealthRestored((record,)))
+    restored = PacerHarness(endpoint_entry("a", destination=7))
+    restored.handle(io.HealthRestored((record,)))
     kept = restored.pacer.handover_state()["dests"]["a"]
     assert [kept[name] for name in names] == HEALTH_RECORD[2:]
 
@@ -689,24 +689,24 @@
 
 def lines_said(*outcomes: io.Status) -> list[str]:
     """The log lines of a pacer whose calls end so, one after the other."""
-    relay = Relay(entry("a", rate=20.0), uses_listed_rates=True)
+    relay = PacerHarness(endpoint_entry("a", rate=20.0), uses_listed_rates=True)
     said: list[str] = []
 
     def note() -> None:
-        said.extend(action.text for action in relay.of(io.Log))
+        said.extend(action.text for action in relay.actions_of(io.Log))
 
     for outcome in outcomes:
-        relay.turn(relay.message(), after=200 * MS)
+        relay.handle(relay.message(), after=200 * MS)
         note()
         sends = relay.sends()
         for _ in range(400):
             if sends:
                 break
-            relay.turn(after=100 * MS)
+            relay.handle(after=100 * MS)
             note()
             sends = relay.sends()
         for send in sends:
-            relay.turn(relay.verdict(send.message_id, outcome), after=10 * MS)
+            relay.handle(relay.attempt_ended(send.message_id, outcome), after=10 * MS)
             note()
     return said
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -11,7 +11,7 @@
 from garnetrelay.clock import monotonic_ms
 from garnetrelay.journal import JournalEntry, Journal
 from starlingwick import interface as io
-from tests.helpers import MS, SAFE, UNSAFE, Relay, S, entry
+from tests.helpers import MS, SAFE, UNSAFE, PacerHarness, S, endpoint_entry
 from tests.sockets import Call, Field, endpoint, listing, until
 from tests.test_rules import recovered
 
@@ -137,24 +137,26 @@
     await until(lambda: not field.relays[0].held_messages)
 
 
-def trouble(relay: Relay) -> None:
+def trouble(relay: PacerHarness) -> None:
     """Two bad calls: an outage, one trial at a time."""
-    relay.turn(relay.message(SAFE), relay.message(SAFE))
+    relay.handle(relay.message(SAFE), relay.message(SAFE))
     for send in relay.sends():
-        relay.turn(relay.verdict(send.message_id, io.Status.TIMEOUT), after=50 * MS)
+        relay.handle(relay.attempt_ended(send.message_id, io.Status.TIMEOUT), after=50 * MS)
     assert relay.pacer.routes[1][0].in_outage
 
 
 def test_a_cold_partner_gets_owed_calls_at_its_own_pace_only() -> None:
-    relay = Relay(entry("a", rate=4.0), uses_listed_rates=True)
+    relay = PacerHarness(endpoint_entry("a", rate=4.0), uses_listed_rates=True)
     trouble(relay)
-    relay.turn(*[recovered(f"r{n}", SAFE, time_left=15 * S) for n in range(6)])
+    relay.handle(*[recovered(f"r{n}", SAFE, time_left=15 * S) for n in range(6)])
     sent: dict[str, int] = {}
     out: list[io.Send] = []
     for _ in range(1490):
         over = [send for send in out if send.deadline <= relay.now]
         out = [send for send in out if send not in over]
-        relay.turn(*[relay.verdict(send.message_id, io.Status.TIMEOUT) for send in over], after=10 * MS)
+        relay.handle(
+            *[relay.attempt_ended(send.message_id, io.Status.TIMEOUT) for send in over], after=10 * MS
+        )
         out += relay.sends()
         for send in relay.sends():
             sent.setdefault(send.message_id, relay.now)
@@ -167,56 +169,60 @@
 
 
 def test_owed_message_is_neither_shed_nor_handed_back_while_its_partner_is_shut() -> None:
-    relay = Relay(entry("a"), limits={"max_held": 10})
-    relay.turn(relay.message(SAFE))
-    relay.turn(relay.verdict("m1", io.Status.FULL, wait=3 * S))
-    newcomers = [relay.message(SAFE, patience=2 * S) for _ in range(12)]
-    relay.turn(recovered("r", SAFE, time_left=4 * S), *newcomers)
-    assert "r" not in {a.message_id for a in relay.of(io.Reject)} and relay.of(io.Reject)
+    relay = PacerHarness(endpoint_entry("a"), limits={"max_held": 10})
+    relay.handle(relay.message(SAFE))
+    relay.handle(relay.attempt_ended("m1", io.Status.FULL, retry_after=3 * S))
+    newcomers = [relay.message(SAFE, time_left=2 * S) for _ in range(12)]
+    relay.handle(recovered("r", SAFE, time_left=4 * S), *newcomers)
+    assert "r" not in {a.message_id for a in relay.actions_of(io.Reject)} and relay.actions_of(io.Reject)
     sent = []
     for _ in range(45):
-        relay.turn(after=100 * MS)
+        relay.handle(after=100 * MS)
         sent += [send.message_id for send in relay.sends()]
     assert "r" in sent
 
 
 def test_message_that_no_next_life_could_send_goes_before_the_end() -> None:
-    relay = Relay(entry("a"))
+    relay = PacerHarness(endpoint_entry("a"))
     # no call has been measured: the aim is 2 s
-    relay.turn(io.ShutdownStarted(relay.now + 3 * S, relay.now + 5 * S))
-    relay.turn(relay.message(UNSAFE, patience=4 * S), relay.message(UNSAFE, patience=20 * S), after=2 * S)
+    relay.handle(io.ShutdownStarted(relay.now + 3 * S, relay.now + 5 * S))
+    relay.handle(relay.message(UNSAFE, time_left=4 * S), relay.message(UNSAFE, time_left=20 * S), after=2 * S)
     assert [send.message_id for send in relay.sends()] == ["m1"]
 
 
 def test_right_to_send_that_is_passed_on_leaves_no_last_call() -> None:
-    relay = Relay(entry("a"))
-    relay.turn(io.ShutdownStarted(relay.now, relay.now), relay.message(UNSAFE, patience=S))
+    relay = PacerHarness(endpoint_entry("a"))
+    relay.handle(io.ShutdownStarted(relay.now, relay.now), relay.message(UNSAFE, time_left=S))
     assert relay.sends() == []
 
 
 def test_owed_message_is_not_held_to_its_end_by_our_own_pace() -> None:
     """Refused without a wait, again and again: the ceiling and the rests would keep all but a few."""
-    relay = Relay(entry("a", rate=60.0), uses_listed_rates=True)
+    relay = PacerHarness(endpoint_entry("a", rate=60.0), uses_listed_rates=True)
     relay.serve(3)
     for _ in range(4):
-        relay.turn(*[relay.message(SAFE) for _ in range(3)], after=50 * MS)
-        relay.turn(*[relay.verdict(send.message_id, io.Status.FULL) for send in relay.sends()], after=10 * MS)
+        relay.handle(*[relay.message(SAFE) for _ in range(3)], after=50 * MS)
+        relay.handle(
+            *[relay.attempt_ended(send.message_id, io.Status.FULL) for send in relay.sends()], after=10 * MS
+        )
     assert relay.pacer.routes[1][0].rate_limit is not None
-    relay.turn(*[recovered(f"r{n}", SAFE, time_left=5 * S) for n in range(20)])
+    relay.handle(*[recovered(f"r{n}", SAFE, time_left=5 * S) for n in range(20)])
     sent, ended = set(), set()
     for _ in range(500):
-        relay.turn(*[relay.verdict(send.message_id, io.Status.FULL) for send in relay.sends()], after=10 * MS)
+        relay.handle(
+            *[relay.attempt_ended(send.message_id, io.Status.FULL) for send in relay.sends()], after=10 * MS
+        )
         sent |= {send.message_id for send in relay.sends()}
-        ended |= {a.message_id for a in relay.of(io.Reject)} - sent
+        ended |= {a.message_id for a in relay.actions_of(io.Reject)} - sent
     assert {f"r{n}" for n in range(20)} <= sent and not {call for call in ended if call.startswith("r")}
 
 
 def test_each_is_tried_once_before_any_twice_where_nothing_connects() -> None:
-    relay = Relay(entry("a", rate=40.0), uses_listed_rates=True)
-    relay.turn(*[recovered(f"r{n}", SAFE, time_left=8 * S + n * MS) for n in range(20)])
+    relay = PacerHarness(endpoint_entry("a", rate=40.0), uses_listed_rates=True)
+    relay.handle(*[recovered(f"r{n}", SAFE, time_left=8 * S + n * MS) for n in range(20)])
     tried = [send.message_id for send in relay.sends()]
     while len(tried) < 20:
-        failed = [relay.verdict(send.message_id, io.Status.CONNECT_FAILED) for send in relay.sends()]
-        relay.turn(*failed, after=50 * MS)
+        failed = [relay.attempt_ended(send.message_id, io.Status.CONNECT_FAILED) for send in relay.sends()]
+        relay.handle(*failed, after=50 * MS)
         tried += [send.message_id for send in relay.sends()]
     assert set(tried) == {f"r{n}" for n in range(20)}
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,7 +13,7 @@
 
 from garnetrelay.ownership import Ownership
 from starlingwick import interface as io
-from tests.helpers import MS, S, Relay, entry
+from tests.helpers import MS, S, PacerHarness, endpoint_entry
 from tests.processes import Process, free_port
 from tests.sockets import PATIENCE, Call, Client, Field, http, until
 
@@ -153,61 +153,61 @@
 
 
 def test_learned_waits_and_ceilings_go_on_in_another_pacer() -> None:
-    old = Relay(entry("a"), entry("b", dest=2))
+    old = PacerHarness(endpoint_entry("a"), endpoint_entry("b", destination=2))
     old.serve(5)
-    old.turn(*[old.message() for _ in range(6)], after=S)
-    old.try_all(io.Status.FULL, 4)
-    old.turn(old.message(dest=2))
-    old.turn(old.verdict(old.sends()[0].message_id, io.Status.FULL, wait=3 * S))
+    old.handle(*[old.message() for _ in range(6)], after=S)
+    old.finish_attempts(io.Status.FULL, 4)
+    old.handle(old.message(destination=2))
+    old.handle(old.attempt_ended(old.sends()[0].message_id, io.Status.FULL, retry_after=3 * S))
     ceiling = old.pacer.routes[1][0].rate_limit
     assert ceiling is not None
-    new = Relay(entry("a"), entry("b", dest=2), seed=8)
+    new = PacerHarness(endpoint_entry("a"), endpoint_entry("b", destination=2), seed=8)
     new.now = old.now
-    new.turn(io.PredecessorState(json.loads(json.dumps(old.pacer.handover_state()))))
+    new.handle(io.PredecessorState(json.loads(json.dumps(old.pacer.handover_state()))))
     assert new.pacer.routes[1][0].rate_limit == ceiling
-    new.turn(new.message(dest=2))
+    new.handle(new.message(destination=2))
     assert not new.sends()
-    new.turn(after=2900 * MS)
+    new.handle(after=2900 * MS)
     assert not new.sends()
 
 
 def test_overheard_wait_and_calls_elsewhere_hold_back_sends() -> None:
-    new = Relay(entry("a"), max_calls=2)
-    new.turn(io.PredecessorCalls(2))
-    new.turn(new.message())
+    new = PacerHarness(endpoint_entry("a"), max_calls=2)
+    new.handle(io.PredecessorCalls(2))
+    new.handle(new.message())
     assert not new.sends()
-    new.turn(
+    new.handle(
         io.PredecessorCalls(0), io.PredecessorCallEnded("a", io.Status.FULL, new.now - S, S, 2 * S, False)
     )
     assert not new.sends()
-    new.turn(after=1900 * MS)
+    new.handle(after=1900 * MS)
     assert not new.sends()
-    new.turn(after=3 * S)
+    new.handle(after=3 * S)
     assert len(new.sends()) == 1
 
 
 def test_no_call_begins_once_the_right_to_send_is_passed_on() -> None:
-    old = Relay(entry("a"))
-    old.turn(old.message())
+    old = PacerHarness(endpoint_entry("a"))
+    old.handle(old.message())
     [send] = old.sends()
     assert old.pacer.may_send(old.now, send.message_id, "a")
-    old.turn(io.ShutdownStarted(old.now, old.now), old.message())
+    old.handle(io.ShutdownStarted(old.now, old.now), old.message())
     assert not old.sends() and not old.pacer.may_send(old.now, send.message_id, "a")
 
 
 def test_what_another_version_learned_is_taken_as_far_as_it_is_known() -> None:
     """An upgrade's two processes may differ in what they keep: no fact more or less ends a turn in an
     error."""
-    old, new = Relay(entry("a")), Relay(entry("a"))
-    old.turn(old.message())
-    old.turn(old.verdict("m1", io.Status.FULL, wait=5 * S))
+    old, new = PacerHarness(endpoint_entry("a")), PacerHarness(endpoint_entry("a"))
+    old.handle(old.message())
+    old.handle(old.attempt_ended("m1", io.Status.FULL, retry_after=5 * S))
     facts = json.loads(json.dumps(old.pacer.handover_state()))
     facts["dests"]["a"] |= {"weather": 3, "hosts": ["b"], "calls": [1]}
     del facts["dests"]["a"]["mean"]
     facts["hosts"]["a"].append("later")
-    new.turn(io.PredecessorState(facts))
+    new.handle(io.PredecessorState(facts))
     facts["hosts"]["a"] = facts["hosts"]["a"][:2]
-    new.turn(io.PredecessorState(facts))
+    new.handle(io.PredecessorState(facts))
     (dest,) = new.pacer.routes[1]
     assert dest.retry_after_until == old.pacer.routes[1][0].retry_after_until
     assert [host.name for host in dest.endpoints] == ["a"] and not dest.calls and not hasattr(dest, "weather")
