--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, each as a relay on its own can keep it."""
+"""The six rules of delivery, on a single relay."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.helpers import KEYED, MS, ORDERED, SAFE, UNSAFE, PacerHarness, S, endpoint_entry, message_class
 
 
-def test_held_message_ends_once_before_its_time_is_up() -> None:
+def test_held_message_ends_once_before_its_deadline() -> None:
     relay = PacerHarness(endpoint_entry("a"))
     relay.handle(relay.message(destination=9, time_left=S))
     assert not relay.actions or isinstance(relay.actions[-1], io.SetTimer)
@@ -19,7 +19,7 @@
     assert relay.actions_of(io.Reject) == [] and relay.actions_of(io.Fail) == []
 
 
-def test_last_time_out_is_answered_at_once() -> None:
+def test_message_that_times_out_at_its_deadline_fails_at_once() -> None:
     relay = PacerHarness(endpoint_entry("a"))
     relay.handle(relay.message(UNSAFE))
     relay.handle(relay.attempt_ended("m1", io.Status.TIMEOUT), after=20 * S)
@@ -27,7 +27,7 @@
     assert relay.actions_of(io.Reject) == []
 
 
-def test_unsafe_message_that_may_have_run_is_failed_never_sent_or_refused() -> None:
+def test_unsafe_message_that_may_have_run_fails_without_a_send_or_a_reject() -> None:
     for status in (io.Status.ERROR, io.Status.TIMEOUT, io.Status.RESET, io.Status.CANCELLED):
         relay = PacerHarness(endpoint_entry("a"), endpoint_entry("b"))
         relay.handle(relay.message(UNSAFE))
@@ -47,7 +47,7 @@
     assert seen == ["m1"]
 
 
-def test_keyed_message_is_not_sent_after_its_window() -> None:
+def test_keyed_message_is_not_sent_after_its_deduplication_window() -> None:
     relay = PacerHarness(endpoint_entry("a"))
     relay.handle(relay.message(KEYED))
     relay.handle(relay.attempt_ended("m1", io.Status.TIMEOUT), after=11 * S)
@@ -71,7 +71,7 @@
     assert again == [first]
 
 
-def test_nothing_goes_to_a_draining_or_vanished_host() -> None:
+def test_draining_or_unlisted_endpoint_gets_no_messages() -> None:
     relay = PacerHarness(endpoint_entry("a"))
     relay.handle(
         io.EndpointUpdate(
@@ -86,16 +86,16 @@
     assert [s.endpoint for s in relay.sends()] == ["b"]
 
 
-def test_outage_is_tried_one_at_a_time_then_ramped() -> None:
+def test_destination_in_outage_gets_one_call_at_a_time_then_slow_start() -> None:
     relay = PacerHarness(endpoint_entry("a"))
     relay.serve(40)
     relay.handle(*[relay.message() for _ in range(40)])
     relay.finish_attempts(io.Status.ERROR, 12)
-    out = len([1 for d in relay.pacer.routes[1][0].calls])
+    most_in_flight = len([1 for d in relay.pacer.routes[1][0].calls])
     for _ in range(50):
         relay.handle(after=100 * MS)
-        out = max(out, len(relay.pacer.routes[1][0].calls))
-    assert out <= 1
+        most_in_flight = max(most_in_flight, len(relay.pacer.routes[1][0].calls))
+    assert most_in_flight <= 1
     sent_at: list[int] = []
     for _ in range(200):
         for m in [m for m in relay.pacer.messages.values() if m.call is not None]:
@@ -104,34 +104,34 @@
         relay.handle(after=50 * MS)
         sent_at += [relay.now] * len(relay.sends())
     rules = relay.settings.rules
-    before = 40 / 8  # what was served a second before the trouble
-    budget = rules.overload_multiple * before * rules.overload_window / S
-    first = [t for t in sent_at if t < sent_at[0] + rules.overload_window]
-    assert sent_at and len(first) <= budget * 0.5
+    rate_before = 40 / 8  # successes a second before the outage
+    budget = rules.overload_multiple * rate_before * rules.overload_window / S
+    in_window = [t for t in sent_at if t < sent_at[0] + rules.overload_window]
+    assert sent_at and len(in_window) <= budget * 0.5
 
 
-def test_messages_of_one_key_go_one_at_a_time_in_order() -> None:
+def test_messages_of_one_key_are_sent_one_at_a_time_in_order() -> None:
     relay = PacerHarness(endpoint_entry("a"), endpoint_entry("b"), rules={"ordering_gap": S})
     relay.handle(
         relay.message(ORDERED, key="k"), relay.message(ORDERED, key="k"), relay.message(ORDERED, key="other")
     )
     assert [s.message_id for s in relay.sends()] == ["m1", "m3"]
     relay.handle(io.MessageWithdrawn("m1"), after=100 * MS)
-    assert relay.sends() == []  # its attempt is still out
+    assert relay.sends() == []  # its attempt is still in flight
     relay.handle(relay.attempt_ended("m1", io.Status.CANCELLED), after=100 * MS)
-    assert relay.sends() == []  # the key rests
+    assert relay.sends() == []  # the ordering gap of the key has not passed
     relay.handle(after=S)
     assert [s.message_id for s in relay.sends()] == ["m2"]
 
 
-def test_told_wait_binds_every_message_and_probe() -> None:
+def test_retry_after_wait_holds_back_every_message_and_probe() -> None:
     relay = PacerHarness(endpoint_entry("a"), endpoint_entry("b"))
     relay.handle(relay.message(), relay.message())
     relay.handle(
         relay.attempt_ended("m1", io.Status.FULL, retry_after=900 * MS), relay.message(), after=50 * MS
     )
-    told = relay.now
-    while relay.now + 50 * MS < told + 900 * MS:
+    throttled_at = relay.now
+    while relay.now + 50 * MS < throttled_at + 900 * MS:
         relay.handle(relay.message(), after=50 * MS)
         assert relay.sends() == [] and relay.actions_of(io.Probe) == []
     relay.handle(relay.attempt_ended("m2", io.Status.OK), after=100 * MS)
@@ -140,8 +140,8 @@
     assert sent or relay.sends()
 
 
-def test_wait_told_to_a_later_message_of_one_call_binds_too() -> None:
-    """Each message of a call has its outcome; a wait in any of them counts, also in a later one."""
+def test_retry_after_wait_of_a_later_message_of_a_call_is_heeded() -> None:
+    """Each message of a call has its own outcome; a wait in any of them counts, also in a later one."""
     relay = PacerHarness(endpoint_entry("a", kind=2))
     relay.handle(relay.message(), relay.message())
     assert len(relay.sends()) == 2
@@ -151,7 +151,7 @@
     assert relay.sends() == []
 
 
-def test_safe_message_is_tried_again_after_an_error() -> None:
+def test_safe_message_is_retried_after_an_error() -> None:
     relay = PacerHarness(endpoint_entry("a"))
     relay.handle(relay.message(SAFE))
     relay.handle(relay.attempt_ended("m1", io.Status.ERROR), after=50 * MS)
@@ -162,13 +162,13 @@
     assert seen == ["m1"]
 
 
-def test_alarm_that_comes_a_moment_early_is_asked_for_again() -> None:
-    """A clock that rounds down brought an alarm 1 ns early; none was asked for again and a message ended late
-    (found day h0a7f9b)."""
+def test_timer_that_expires_early_is_set_again() -> None:
+    """A clock that rounds down let a timer expire 1 ns early; it was not set again and a message ended late
+    (day h0a7f9b)."""
     relay = PacerHarness(endpoint_entry("a"))
     relay.handle(relay.message(destination=9, time_left=S))
-    wake = relay.actions_of(io.SetTimer)[-1]
-    relay.handle(io.TimerExpired(wake.token), after=wake.delay - 1)
+    timer = relay.actions_of(io.SetTimer)[-1]
+    relay.handle(io.TimerExpired(timer.token), after=timer.delay - 1)
     assert [a.delay for a in relay.actions_of(io.SetTimer)] == [1]
 
 
@@ -179,7 +179,7 @@
     return io.MessageRecovered(message_id, class_index, **(values | changes))
 
 
-def test_recovered_messages_keep_what_an_earlier_life_did() -> None:
+def test_recovered_messages_keep_the_attempts_of_a_previous_process() -> None:
     cases = (
         (recovered("m", UNSAFE), io.Send),
         (recovered("m", UNSAFE, attempts=1, possible_run_age=S), io.Fail),
@@ -198,22 +198,22 @@
 
 def test_recovered_keyed_message_stays_in_its_zone() -> None:
     classes = (message_class(io.Idempotency.KEYED, io.KeyScope.ZONE),)
-    for zone, host in ((0, "a"), (1, "b")):
+    for zone, endpoint in ((0, "a"), (1, "b")):
         relay = PacerHarness(endpoint_entry("a", zone=0), endpoint_entry("b", zone=1), classes=classes)
         relay.handle(recovered("m", 0, attempts=1, possible_run_age=S, possible_run_zone=zone))
-        assert [s.endpoint for s in relay.sends()] == [host]
+        assert [s.endpoint for s in relay.sends()] == [endpoint]
 
 
-def test_message_without_room_in_the_journal_is_refused_and_forgotten() -> None:
+def test_message_without_room_in_the_journal_is_rejected_and_forgotten() -> None:
     relay = PacerHarness(endpoint_entry("a"))
     relay.handle(replace(relay.message(), storable=False))
     assert [a.message_id for a in relay.actions_of(io.Reject)] == ["m1"] and relay.sends() == []
     assert relay.pacer.messages == {} and relay.pacer.held_count == 0
 
 
-def test_nothing_goes_out_that_the_end_of_the_process_might_cut_off() -> None:
+def test_no_message_is_sent_that_a_shutdown_may_interrupt() -> None:
     relay = PacerHarness(endpoint_entry("a"))
-    relay.serve(3)  # a mean of 100 ms: 400 ms are enough for most calls
+    relay.serve(3)  # the mean duration is 100 ms: 400 ms are enough for most calls
     relay.handle(io.ShutdownStarted(relay.now + S, relay.now + 3 * S))
     relay.handle(relay.message(UNSAFE), after=500 * MS)
     assert len(relay.sends()) == 1
@@ -221,27 +221,27 @@
     assert relay.sends() == [] and relay.actions_of(io.Reject) == [] and relay.actions_of(io.Fail) == []
 
 
-def test_last_look_holds_back_what_was_overtaken() -> None:
+def test_may_send_holds_back_sends_that_a_later_event_forbids() -> None:
     relay = PacerHarness(endpoint_entry("a"), endpoint_entry("b"))
     relay.handle(relay.message())
-    host = relay.sends()[0].endpoint
-    assert relay.pacer.may_send(relay.now, "m1", host)
-    assert relay.pacer.may_send(relay.now, None, host)
-    assert not relay.pacer.may_send(relay.now + 20 * S, "m1", host)
+    endpoint = relay.sends()[0].endpoint
+    assert relay.pacer.may_send(relay.now, "m1", endpoint)
+    assert relay.pacer.may_send(relay.now, None, endpoint)
+    assert not relay.pacer.may_send(relay.now + 20 * S, "m1", endpoint)
     relay.handle(
         io.EndpointUpdate(
-            io.UpdateScope.DELTA, (endpoint_entry(host, availability=io.Availability.STOPPING),)
+            io.UpdateScope.DELTA, (endpoint_entry(endpoint, availability=io.Availability.STOPPING),)
         )
     )
-    assert not relay.pacer.may_send(relay.now, "m1", host)
-    assert not relay.pacer.may_send(relay.now, None, host)
+    assert not relay.pacer.may_send(relay.now, "m1", endpoint)
+    assert not relay.pacer.may_send(relay.now, None, endpoint)
     relay.handle(
-        io.EndpointUpdate(io.UpdateScope.DELTA, (endpoint_entry(host, availability=io.Availability.DELETED),))
+        io.EndpointUpdate(io.UpdateScope.DELTA, (endpoint_entry(endpoint, availability=io.Availability.DELETED),))
     )
-    assert not relay.pacer.may_send(relay.now, "m1", host)
+    assert not relay.pacer.may_send(relay.now, "m1", endpoint)
 
 
-def test_last_look_heeds_a_wait_told_to_another_call() -> None:
+def test_may_send_heeds_the_retry_after_wait_of_another_call() -> None:
     relay = PacerHarness(endpoint_entry("a"))
     relay.serve(2)
     relay.handle(relay.message(), relay.message())
@@ -252,7 +252,7 @@
     assert relay.pacer.may_send(relay.now + S, second, "a")
 
 
-def test_abandoned_attempt_never_ran_and_is_made_up_for() -> None:
+def test_abandoned_attempt_never_ran_and_is_retried() -> None:
     relay = PacerHarness(endpoint_entry("a"))
     relay.handle(relay.message(UNSAFE))
     relay.handle(relay.attempt_ended("m1", io.Status.ABANDONED), after=50 * MS)
