--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -236,7 +236,9 @@
     assert not relay.pacer.may_send(relay.now, "m1", endpoint)
     assert not relay.pacer.may_send(relay.now, None, endpoint)
     relay.handle(
-        io.EndpointUpdate(io.UpdateScope.DELTA, (endpoint_entry(endpoint, availability=io.Availability.DELETED),))
+        io.EndpointUpdate(
+            io.UpdateScope.DELTA, (endpoint_entry(endpoint, availability=io.Availability.DELETED),)
+        )
     )
     assert not relay.pacer.may_send(relay.now, "m1", endpoint)
 
