--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -75,7 +75,7 @@
 
 
 def throttled_then_served(retry_after: int, report: io.LoadReport | None) -> PacerHarness:
-    """Return a relay with few calls: its only call in the outage was throttled, and 4 s later one succeeded."""
+    """Return a relay with few calls: its only call in the outage was throttled, one succeeded 4 s later."""
     relay = PacerHarness(endpoint_entry("a"), relays=30)
     relay.serve(2)
     relay.handle(relay.message(), after=4 * S)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -1,4 +1,4 @@
-"""When a change counts as told: discovery fails, refuses or stays silent, and has a change meanwhile."""
+"""Changes reach the relay in time after discovery failed, rejected calls or stopped answering."""
 
 from __future__ import annotations
 
@@ -15,52 +15,54 @@
 from tests.clock import play
 from tests.sockets import Call, Client, Field, HttpServer, Platform, Watch, endpoint, listing
 
-TOLD = 6.0  # seconds after discovery had a change and could be reached
-LINE_EVERY = 2.0  # seconds between the empty lines of a watch
-VAIN = (1, 2, 3, 6)  # calls in a row that come to nothing, before discovery can be reached again
-MANY = 200  # relays: each asks most seldom
-LATE = 4.9  # seconds until discovery comes to a call, where it works through many in turn
+MAX_UPDATE_DELAY = 6.0  # seconds after discovery has a change and is reachable
+HEARTBEAT_INTERVAL = 2.0  # seconds between the empty lines that keep a watch alive
+FAILURE_COUNTS = (1, 2, 3, 6)  # calls in a row that fail before discovery is reachable again
+RELAYS = 200  # the more relays, the longer the pause between the calls of each
+REJECTION_DELAY = 4.9  # seconds until an overloaded discovery answers a call
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-REFUSAL = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
-Meeting = Callable[[Call], None]  # what a call for the list meets
+FailureMode = Callable[[Call], None]  # how a call for the list fails
 
 
-def late_refusal(call: Call) -> None:
-    asyncio.get_running_loop().call_later(LATE, call.raw, REFUSAL)
+def reject_late(call: Call) -> None:
+    asyncio.get_running_loop().call_later(REJECTION_DELAY, call.raw, REJECTION)
 
 
-FAILED: dict[str, list[Meeting]] = {
+FAILED: dict[str, list[FailureMode]] = {
     "no listener": [],
     "reset": [lambda call: call.break_off()],
     "500": [lambda call: call.answer(500)],
     "200 and its end": [lambda call: call.answer(200)],
 }
-REFUSED: dict[str, list[Meeting]] = {
+REJECTED: dict[str, list[FailureMode]] = {
     "503": [lambda call: call.answer(503)],
     "429": [lambda call: call.answer(429, "X-Backoff-Ms: 30000")],
-    "503, late": [late_refusal],
+    "503, late": [reject_late],
 }
-GIVEN_UP: dict[str, list[Meeting]] = {
+TIMED_OUT: dict[str, list[FailureMode]] = {
     "silence": [lambda call: None],
     "half a head": [lambda call: call.raw(HEAD[:20])],
     "no line": [lambda call: call.raw(HEAD)],
 }
 
 
-class Agent(Platform):
-    """Discovery as its relay sees it. While it is down, calls come to nothing as the test says; where it says
-    nothing, nobody listens."""
+class FailingDiscovery(Platform):
+    """Discovery with an outage in which calls fail by ``failure_modes``, in turn.
 
-    def __init__(self, meetings: list[Meeting], vain: int) -> None:
+    Without failure modes nothing listens on its port during the outage.
+    """
+
+    def __init__(self, failure_modes: list[FailureMode], expected_failures: int) -> None:
         super().__init__()
-        self.meetings = meetings  # each call of a row meets the next
-        self.kept = socket.socket()  # its port, while nobody listens there
+        self.failure_modes = failure_modes  # each call uses the next one
+        self.reserved_socket = socket.socket()  # holds the port while nothing listens on it
         self.down = False
-        self.vain = vain  # calls in a row that come to nothing
-        self.met = 0
-        self.last_met = asyncio.Event()
+        self.expected_failures = expected_failures  # calls in a row that fail
+        self.failure_count = 0
+        self.last_failure = asyncio.Event()
         self.watched = asyncio.Event()
         self.index = 41
         self.changes: list[dict[str, object]] = []
@@ -69,55 +71,57 @@
         if not call.line.startswith("GET "):
             super().take(call)
         elif self.down:
-            self.meetings[self.met % len(self.meetings)](call)
-            self.in_vain()
+            self.failure_modes[self.failure_count % len(self.failure_modes)](call)
+            self.record_failure()
         else:
             call.raw(HEAD)
             watch = Watch(call)
             since = int(call.line.split()[1].partition("since=")[2])
             watch.line(listing(self.index, *self.changes) if since < self.index else "")
             self.watched.set()
-            self._go_on(watch)
+            self._send_heartbeat(watch)
 
-    def in_vain(self) -> None:
-        self.met += 1
-        if self.met == self.vain:
-            self.last_met.set()
+    def record_failure(self) -> None:
+        self.failure_count += 1
+        if self.failure_count == self.expected_failures:
+            self.last_failure.set()
 
-    def _go_on(self, watch: Watch) -> None:
+    def _send_heartbeat(self, watch: Watch) -> None:
         if not self.down and not watch.call.writer.is_closing():
             watch.line("")
-            asyncio.get_running_loop().call_later(LINE_EVERY, self._go_on, watch)
+            asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL, self._send_heartbeat, watch)
 
-    def fall(self) -> None:
-        """Its watches stay open and fall silent; with no listener they break."""
+    def go_down(self) -> None:
+        """Start the outage: watches stay open and silent; with no listener they are reset."""
         self.down = True
-        if not self.meetings:
+        if not self.failure_modes:
             assert self.server is not None
             self.server.close()
             host, port = self.address.split(":")
-            self.kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self.kept.bind((host, int(port)))  # or somebody else might listen there
+            self.reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self.reserved_socket.bind((host, int(port)))  # so that no other process listens there
             for writer in list(self.writers):
                 writer.transport.abort()
 
     async def come_back(self, *changes: dict[str, object]) -> float:
-        """Behind the last call in vain it can be reached, and has these changes: the time of it. What is open
-        and silent stays so."""
-        await self.last_met.wait()
+        """End the outage after the last expected failure, with these changes, and return the time of it.
+
+        Connections that are open and silent stay so.
+        """
+        await self.last_failure.wait()
         self.down = False
         self.index, self.changes = 43, list(changes)
-        if not self.meetings:
-            self.server = await asyncio.start_server(self._serve, sock=self.kept)
+        if not self.failure_modes:
+            self.server = await asyncio.start_server(self._serve, sock=self.reserved_socket)
         return time.monotonic()
 
     async def stop(self) -> None:
         await super().stop()
-        self.kept.close()
+        self.reserved_socket.close()
 
 
-class Endpoint(HttpServer):
-    """Delivers whatever comes, and notes when."""
+class RecordingEndpoint(HttpServer):
+    """Accepts every message and records when it came."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -129,132 +133,147 @@
         call.answer(200)
 
 
-class Scene:
-    """A relay that has lost discovery, two endpoints, and clients that go on."""
+class Scenario:
+    """A relay without a connection to discovery, two endpoints, and a client that keeps sending."""
 
-    def __init__(self, folder: Path, mode: str, agent: Agent) -> None:
+    def __init__(self, folder: Path, mode: str, discovery: FailingDiscovery) -> None:
         folder.mkdir()
         self.field = Field(folder)
-        self.field.facts.update(discovery=mode, balancers=MANY)
-        self.field.platform = self.agent = agent
-        self.leaves, self.stays = Endpoint(), Endpoint()
+        self.field.facts.update(discovery=mode, balancers=RELAYS)
+        self.field.platform = self.discovery = discovery
+        self.removed, self.remaining = RecordingEndpoint(), RecordingEndpoint()
         self.sent = 0
 
     async def prepare(self) -> None:
         await self.field.prepare()
-        for host in (self.leaves, self.stays):
+        for host in (self.removed, self.remaining):
             await host.start()
-        self.field.endpoints = [endpoint(self.leaves, "s-1"), endpoint(self.stays, "s-2")]
+        self.field.endpoints = [endpoint(self.removed, "s-1"), endpoint(self.remaining, "s-2")]
 
     async def start(self) -> Client:
-        """The relay, drawing the latest of whatever it leaves to chance in when it asks again."""
+        """Start the relay, with every random delay before its next call for the list at its maximum."""
         client = await self.field.start()
         pacer = self.field.relays[0].pacer
         pacer.random.random = lambda: 0.999  # type: ignore[method-assign]
         return client
 
-    def count_refused(self) -> None:
-        """Where nobody listens, the relay alone knows of its calls."""
+    def count_failed_connections(self) -> None:
+        """Count failed calls in the relay: where nothing listens, discovery does not see them."""
         watch = self.field.relays[0].discovery
-        on_news = watch.on_update
+        on_update = watch.on_update
 
-        def counted(news: ListUpdate | None) -> None:
-            on_news(news)
-            if news is None:
-                self.agent.in_vain()
+        def record_update(update: ListUpdate | None) -> None:
+            on_update(update)
+            if update is None:
+                self.discovery.record_failure()
 
-        watch.on_update = counted
+        watch.on_update = record_update
 
     async def stop(self) -> None:
         await self.field.stop()
-        for host in (self.leaves, self.stays):
+        for host in (self.removed, self.remaining):
             await host.stop()
 
     async def deliver(self, client: Client, number: int) -> None:
-        """Messages at four a second or less, each delivered."""
+        """Send messages at four a second or less."""
         for _ in range(number):
             self.sent += 1
             assert await client.enqueue(f"m{self.sent}") == b"OK"
             await asyncio.sleep(0.25)
 
     async def run(self, status: str, from_start: bool) -> None:
-        """Discovery is back right behind the last call in vain: the worst moment."""
-        agent = self.agent
+        """Bring discovery back right after the last failed call, the worst moment, and check the delay."""
+        discovery = self.discovery
         await self.prepare()
         if from_start:
-            agent.fall()
+            discovery.go_down()
         client = await self.start()
         try:
             if not from_start:
-                await agent.watched.wait()
-                agent.fall()
-            if not agent.meetings:
-                self.count_refused()
-            back, _ = await asyncio.gather(
-                agent.come_back(endpoint(self.leaves, "s-1", status)), self.deliver(client, 6)
+                await discovery.watched.wait()
+                discovery.go_down()
+            if not discovery.failure_modes:
+                self.count_failed_connections()
+            recovered_at, _ = await asyncio.gather(
+                discovery.come_back(endpoint(self.removed, "s-1", status)), self.deliver(client, 6)
             )
-            assert self.leaves.times, "the test shows nothing where no call goes there anyhow"
-            await asyncio.sleep(back + TOLD - 0.5 - time.monotonic())
+            assert (
+                self.removed.times
+            ), "the endpoint got no calls before its removal: the test would show nothing"
+            await asyncio.sleep(recovered_at + MAX_UPDATE_DELAY - 0.5 - time.monotonic())
             await self.deliver(client, 8)
-            assert len(self.leaves.times) + len(self.stays.times) == self.sent
-            late = [round(at - back, 2) for at in self.leaves.times if at - back > TOLD]
-            assert not late, f"{late} s after discovery was back it still got calls"
-            assert self.stays.times[-1] - back > TOLD
+            assert len(self.removed.times) + len(self.remaining.times) == self.sent
+            late_calls = [
+                round(at - recovered_at, 2)
+                for at in self.removed.times
+                if at - recovered_at > MAX_UPDATE_DELAY
+            ]
+            assert (
+                not late_calls
+            ), f"{late_calls} s after discovery was back the removed endpoint still got calls"
+            assert self.remaining.times[-1] - recovered_at > MAX_UPDATE_DELAY
         finally:
             client.writer.close()
             await self.stop()
 
 
-async def side_by_side(folder: Path, kinds: dict[str, list[Meeting]]) -> None:
-    """A relay for each kind of call in vain, each number of them in a row, both ways in which changes come,
-    and for a watch that was lost and one that never was."""
-    plays = list(product(kinds, ("automatic", "subscribe"), VAIN, (False, True)))
-    ends = await asyncio.gather(
+async def run_scenarios(folder: Path, kinds: dict[str, list[FailureMode]]) -> None:
+    """Run a relay for each kind of failure, each number of failures in a row, both discovery modes, and with
+    a watch that was lost or never opened."""
+    cases = list(product(kinds, ("automatic", "subscribe"), FAILURE_COUNTS, (False, True)))
+    results = await asyncio.gather(
         *(
-            Scene(folder / str(number), mode, Agent(kinds[kind], vain)).run(
-                "Gone" if vain % 2 else "Terminating", from_start
+            Scenario(folder / str(number), mode, FailingDiscovery(kinds[kind], expected_failures)).run(
+                "Gone" if expected_failures % 2 else "Terminating", from_start
             )
-            for number, (kind, mode, vain, from_start) in enumerate(plays)
+            for number, (kind, mode, expected_failures, from_start) in enumerate(cases)
         ),
         return_exceptions=True,
     )
-    wrong = [
-        f"{kind}, {mode}, {vain} in vain{' from the start' * from_start}: {end!r}"
-        for (kind, mode, vain, from_start), end in zip(plays, ends, strict=True)
-        if end is not None
+    errors = [
+        f"{kind}, {mode}, {expected_failures} failures{' from the start' * from_start}: {result!r}"
+        for (kind, mode, expected_failures, from_start), result in zip(cases, results, strict=True)
+        if result is not None
     ]
-    assert not wrong, "\n".join(wrong)
+    assert not errors, "\n".join(errors)
 
 
-def test_change_is_told_within_6_s_behind_calls_that_failed(
+def test_change_is_applied_within_6_s_after_calls_that_failed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """6 s after discovery had it and could be reached, whatever failed before."""
-    play(monkeypatch, side_by_side(tmp_path, FAILED))
+    """The delay runs from when discovery has the change and is reachable, whatever failed before."""
+    play(monkeypatch, run_scenarios(tmp_path, FAILED))
 
 
-def test_change_is_told_within_6_s_behind_calls_that_discovery_refused(
+def test_change_is_applied_within_6_s_after_calls_that_discovery_rejected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """6 s after discovery had it and could be reached, whatever it turned away before."""
-    play(monkeypatch, side_by_side(tmp_path, REFUSED))
+    """The delay runs from when discovery has the change and is reachable, whatever it rejected before."""
+    play(monkeypatch, run_scenarios(tmp_path, REJECTED))
 
 
-def test_change_is_told_within_6_s_behind_calls_that_the_relay_gave_up(
+def test_change_is_applied_within_6_s_after_calls_that_timed_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """6 s after discovery had it and could be reached, though the last call stays open and silent."""
-    play(monkeypatch, side_by_side(tmp_path, GIVEN_UP))
+    """The delay runs from when discovery has the change and is reachable, though the last call stays open and
+    silent."""
+    play(monkeypatch, run_scenarios(tmp_path, TIMED_OUT))
 
 
-def test_change_is_told_within_6_s_behind_failures_of_all_kinds_in_a_row(
+def test_change_is_applied_within_6_s_after_failures_of_all_kinds_in_a_row(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """6 s after discovery had it and could be reached, with each failure of another kind than the last."""
-    every = [one for kind in (GIVEN_UP, REFUSED, FAILED) for meetings in kind.values() for one in meetings]
+    """The delay runs from when discovery has the change and is reachable; successive failures differ."""
+    all_modes = [
+        failure_mode
+        for kind in (TIMED_OUT, REJECTED, FAILED)
+        for failure_modes in kind.values()
+        for failure_mode in failure_modes
+    ]
     play(
         monkeypatch,
-        side_by_side(
-            tmp_path, {f"all, from number {first} on": every[first:] + every[:first] for first in (0, 3, 6)}
+        run_scenarios(
+            tmp_path,
+            {f"all, from number {first} on": all_modes[first:] + all_modes[:first] for first in (0, 3, 6)},
         ),
     )
