--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""Terms of the standing test's page that no other test shows, over loopback sockets."""
+"""Floods, sockets, endless responses and readiness over loopback sockets."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 # ---- floods
 
 
-async def test_burst_of_idle_clients_leaves_descriptors_for_what_is_served(
+async def test_burst_of_idle_clients_leaves_descriptors_for_other_work(
     field: Field, process: Process
 ) -> None:
-    """More connect at once than there are descriptors. Those beyond the bound are turned away, whoever comes
-    then hears something, and not even for a moment is there no descriptor for a call or a file."""
+    """More clients connect at once than there are descriptors. Those beyond the limit are rejected, later
+    clients get an answer, and a descriptor for a call or a file is free at every moment."""
     field.limits["sockets"] = 128
     client = await process.start()
     assert await client.ask("PING") == b"PONG"
@@ -32,26 +32,29 @@
     assert child is not None and child.stderr is not None
     resource.prlimit(child.pid, resource.RLIMIT_NOFILE, (128, 128))
     log = asyncio.create_task(child.stderr.read())
-    child.send_signal(signal.SIGSTOP)  # the processor is another's while they come
-    burst = [socket.create_connection(("127.0.0.1", process.port)) for _ in range(300)]
+    child.send_signal(signal.SIGSTOP)  # the process does not run while they connect
+    idle_clients = [socket.create_connection(("127.0.0.1", process.port)) for _ in range(300)]
     child.send_signal(signal.SIGCONT)
-    late = await Client.connect(process.port)
-    assert await late.ask("PING") in ("BUSY", b"PONG")  # with a place, if some were idle for 2 s by then
-    for one in burst:
-        one.close()
-    again = await Client.connect(process.port)
-    while await again.ask("PING") != b"PONG":  # until the relay has seen that they went
-        again = await Client.connect(process.port)
-    assert await again.enqueue("m1", "unsafe") == b"OK"
+    late_client = await Client.connect(process.port)
+    assert await late_client.ask("PING") in (
+        "BUSY",
+        b"PONG",
+    )  # accepted if some had been idle for 2 s by then
+    for idle_client in idle_clients:
+        idle_client.close()
+    new_client = await Client.connect(process.port)
+    while await new_client.ask("PING") != b"PONG":  # until the relay has noticed their disconnects
+        new_client = await Client.connect(process.port)
+    assert await new_client.enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
     assert await process.end(signal.SIGTERM) == 0
     async with asyncio.timeout(PATIENCE):
-        told = await log
-    assert b"open files" not in told and b"Traceback" not in told
+        log_text = await log
+    assert b"open files" not in log_text and b"Traceback" not in log_text
 
 
 @pytest.mark.parametrize("ends", [False, True], ids=["serves on", "stops"])
-async def test_connection_that_finds_no_descriptor_is_accepted_later(
+async def test_connection_without_a_free_descriptor_is_accepted_later(
     field: Field, monkeypatch: pytest.MonkeyPatch, ends: bool
 ) -> None:
     first = await field.start()
@@ -59,30 +62,32 @@
     assert server.address is not None
     accept, errors = socket.socket.accept, [OSError(errno.EMFILE, "Too many open files")]
 
-    def fails_once(listener: socket.socket) -> Any:
+    def fail_once(listener: socket.socket) -> Any:
         if errors and listener.getsockname() == server.address:
             raise errors.pop()
         return accept(listener)
 
-    monkeypatch.setattr(socket.socket, "accept", fails_once)
-    late = await Client.connect(server.address[1])
+    monkeypatch.setattr(socket.socket, "accept", fail_once)
+    late_client = await Client.connect(server.address[1])
     await until(lambda: not errors)
     assert len(server.connections) == 1
     if ends:
         server.stop()
-    assert await late.ask("PING") == b"PONG"
+    assert await late_client.ask("PING") == b"PONG"
     assert ends or await first.ask("PING") == b"PONG"
 
 
-async def test_client_that_sends_many_commands_and_goes_costs_others_nothing(field: Field) -> None:
-    """More than its socket takes in answers, none of them read; its messages are no proper requests."""
+async def test_client_that_sends_many_commands_and_disconnects_does_not_affect_others(field: Field) -> None:
+    """It sends invalid requests and reads none of the answers, which are more than its socket can hold."""
     other = await field.start()
     server = field.relays[0].server
     assert server.address is not None
-    noise = b"".join(packed("ENQUEUE", "0", f"n{n}", "c=none,d=8000,dest=3", "x") for n in range(20_000))
+    invalid_requests = b"".join(
+        packed("ENQUEUE", "0", f"n{n}", "c=none,d=8000,dest=3", "x") for n in range(20_000)
+    )
     _, writer = await asyncio.open_connection(*server.address)
-    writer.write(noise)
-    await until(lambda: writer.transport.get_write_buffer_size() < len(noise) // 2)
+    writer.write(invalid_requests)
+    await until(lambda: writer.transport.get_write_buffer_size() < len(invalid_requests) // 2)
     writer.transport.abort()
     assert await other.enqueue("m1") == b"OK"
     (await field.host.next_call()).answer(200)
@@ -92,20 +97,20 @@
 @pytest.mark.parametrize(
     "words", [("NOPE",), ("ENQUEUE", "0", "n", "c=none,d=8000,dest=3", "x")], ids=["command", "class"]
 )
-async def test_peer_that_sends_nothing_but_nonsense_is_told_so_and_closed(
+async def test_client_that_sends_only_invalid_requests_gets_errors_and_is_closed(
     field: Field, words: tuple[str, ...]
 ) -> None:
-    """Tens of thousands of commands in a few reads: to answer them all takes the processor for seconds."""
+    """Tens of thousands of commands arrive in a few reads: answering them all would take seconds of CPU."""
     client = await field.start()
     client.writer.write(packed(*words) * 20_000 + packed("PING"))
     answers = []
     while (answer := await client.read()) is not None:
         answers.append(answer)
     assert len(answers) == clients.MAX_CONSECUTIVE_INVALID_REQUESTS + 1 and all(
-        one.startswith("ERR") for one in answers
+        reply.startswith("ERR") for reply in answers
     )
     other = await Client.connect(client.writer.get_extra_info("peername")[1])
-    for n in range(clients.MAX_CONSECUTIVE_INVALID_REQUESTS * 2):  # now and then one may be wrong
+    for n in range(clients.MAX_CONSECUTIVE_INVALID_REQUESTS * 2):  # an occasional invalid request is allowed
         assert (await other.ask(*words)).startswith("ERR")
         assert await other.ask("PING", str(n)) == str(n).encode()
 
@@ -113,8 +118,8 @@
 # ---- sockets
 
 
-async def test_no_small_write_is_held_back_on_any_socket(field: Field) -> None:
-    """A close over unread bytes would take back what the system still held."""
+async def test_every_socket_has_nagle_disabled(field: Field) -> None:
+    """Closing a socket with unread input discards output that the kernel still holds back."""
     client = await field.start()
     await field.platform.next_watch()
     await client.enqueue("m1", "unsafe")
@@ -124,17 +129,20 @@
     await field.host.next_call()
     server = field.relays[0].server
     ends: list[str] = []
-    for number in os.listdir("/proc/self/fd"):  # this test's ends of the connections too
-        with contextlib.suppress(OSError), socket.socket(fileno=os.dup(int(number))) as one:
-            if one.type == socket.SOCK_STREAM and one.family == socket.AF_INET:
-                peer = "{}:{}".format(*one.getpeername())
-                assert one.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY), (one.getsockname(), peer)
-                ends.append("accepted" if one.getsockname() == server.address else peer)
+    for number in os.listdir("/proc/self/fd"):  # includes this test's ends of the connections
+        with contextlib.suppress(OSError), socket.socket(fileno=os.dup(int(number))) as connection:
+            if connection.type == socket.SOCK_STREAM and connection.family == socket.AF_INET:
+                peer = "{}:{}".format(*connection.getpeername())
+                assert connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY), (
+                    connection.getsockname(),
+                    peer,
+                )
+                ends.append("accepted" if connection.getsockname() == server.address else peer)
     assert ends.count(field.platform.address) == 2  # the watch and the notices
     assert ends.count(field.host.address) >= 1 and ends.count("accepted") == 1
 
 
-async def test_client_that_ends_its_sending_behind_a_request_is_answered(field: Field) -> None:
+async def test_client_that_half_closes_after_a_request_is_answered(field: Field) -> None:
     client = await field.start()
     client.write("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", "x")
     client.writer.write_eof()
@@ -142,65 +150,65 @@
     (await field.host.next_call()).answer(200)
 
 
-async def test_answer_that_takes_a_message_on_follows_its_record(
+async def test_message_is_accepted_only_after_its_journal_record(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A kill may come right behind it."""
-    seen: list[bytes] = []
-    ok = clients.Reply.accept
+    """The process may be killed right after the answer."""
+    journal_contents: list[bytes] = []
+    accept = clients.Reply.accept
 
-    def looks_first(reply: clients.Reply) -> None:
-        seen.append((field.state / "journal").read_bytes())
-        ok(reply)
+    def record_journal(reply: clients.Reply) -> None:
+        journal_contents.append((field.state / "journal").read_bytes())
+        accept(reply)
 
-    monkeypatch.setattr(clients.Reply, "accept", looks_first)
+    monkeypatch.setattr(clients.Reply, "accept", record_journal)
     client = await field.start()
     assert await client.enqueue("m1") == b"OK"
-    assert len(seen) == 1 and b'"t":"taken","ref":"m1"' in seen[0]
+    assert len(journal_contents) == 1 and b'"t":"taken","ref":"m1"' in journal_contents[0]
 
 
-def test_process_is_gone_before_it_may_be_killed() -> None:
-    """SIGKILL comes no sooner than 3.7 s after SIGTERM, new connections for up to 0.4 s."""
+def test_process_exits_before_it_may_be_killed() -> None:
+    """SIGKILL comes at least 3.7 s after SIGTERM, new connections up to 0.4 s after it."""
     assert (
         0.4 < relay.LISTEN_GRACE_PERIOD
         and relay.SHUTDOWN_TIMEOUT_NS / relay.SECOND + clients.CLOSE_DELAY <= 3.4
     )
 
 
-# ---- late connections and repeat windows
+# ---- connect timeouts and deduplication windows
 
 
-async def test_connection_that_does_not_come_up_is_given_up_in_time_and_never_ran(field: Field) -> None:
-    """Its machine drops what it is sent: the queue of who may connect is full."""
+async def test_connection_attempt_times_out_and_its_message_never_ran(field: Field) -> None:
+    """The endpoint's accept queue is full, so its kernel drops connection attempts."""
     field.facts["limits"].update(connectTimeout=200_000_000, probes=False)
-    full = socket.socket()
-    full.bind(("127.0.0.1", 0))
-    full.listen(0)
-    name = full.getsockname()
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(0)
+    name = listener.getsockname()
     fillers = [socket.socket() for _ in range(4)]
-    for one in fillers:
-        one.setblocking(False)
-        one.connect_ex(name)
+    for filler in fillers:
+        filler.setblocking(False)
+        filler.connect_ex(name)
     field.endpoints[0]["address"] = "127.0.0.1:%d" % name[1]
     client = await field.start()
     watch = await field.platform.next_watch()
     assert await client.enqueue("m1", "unsafe") == b"OK"
     one_relay = field.relays[0]
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     await until(lambda: one_relay.pacer.messages["m1"].attempts == 1)
     await until(lambda: one_relay.outcomes["connect_failed"] == 1)
-    assert asyncio.get_running_loop().time() - began >= 0.19
+    assert asyncio.get_running_loop().time() - started_at >= 0.19
     assert one_relay.journal.entries["m1"].attempts == 0 and not one_relay.connection_pool.open
     watch.line(listing(42, endpoint(field.host, "s-2"), snapshot=True))
     call = await field.host.next_call()
     assert call.headers["x-request-id"] == "m1"
     call.answer(200)
-    for one in (*fillers, full):
-        one.close()
+    for open_socket in (*fillers, listener):
+        open_socket.close()
 
 
-async def test_reset_behind_the_window_of_a_repeat_brings_no_second_call(field: Field) -> None:
-    """The window runs from the call, however long after it the connection breaks."""
+async def test_reset_after_the_deduplication_window_causes_no_second_call(field: Field) -> None:
+    """The window runs from the call, however much later the connection is reset."""
     field.facts["classes"][1]["repeatWindow"] = 300_000_000
     client = await field.start()
     await client.enqueue("m1", "keyed")
@@ -211,7 +219,7 @@
     assert field.host.calls.empty()
 
 
-# ---- answers without end
+# ---- endless responses
 
 
 @pytest.mark.parametrize(
@@ -225,7 +233,7 @@
     ],
     ids=["chunks", "body", "headers", "1xx", "first line"],
 )
-async def test_answer_without_end_ends_with_its_connection_and_may_have_run(
+async def test_endless_error_response_closes_its_connection_and_may_have_run(
     field: Field, head: bytes, more: bytes
 ) -> None:
     client = await field.start()
@@ -234,7 +242,7 @@
     call.raw(head)
     sent = 0
     while field.host.closed.empty():
-        assert sent < 1 << 20  # it is given up for its size, long before its time is up
+        assert sent < 1 << 20  # it is abandoned for its size, long before its timeout
         call.raw(more)
         sent += len(more)
         await asyncio.sleep(0.001)
@@ -242,7 +250,7 @@
     assert not field.relays[0].connection_pool.open and field.host.calls.empty()
 
 
-async def test_delivered_answer_without_end_gives_its_connection_back(field: Field) -> None:
+async def test_endless_success_response_closes_its_connection(field: Field) -> None:
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
@@ -256,7 +264,7 @@
 
 
 @pytest.mark.parametrize("status", [200, 500, 503])
-async def test_answer_in_single_bytes_behind_1xx_is_read_whole(field: Field, status: int) -> None:
+async def test_response_in_single_bytes_after_1xx_responses_is_read_whole(field: Field, status: int) -> None:
     client = await field.start()
     await field.warm(client)
     await client.enqueue("m1", "safe")
@@ -266,15 +274,15 @@
         call.raw(bytes([byte]))
         await asyncio.sleep(0)
     if status != 200:
-        again = await field.host.next_call()
-        assert again.connection == call.connection and again.headers["x-request-id"] == "m1"
-        again.answer(200)
+        retry = await field.host.next_call()
+        assert retry.connection == call.connection and retry.headers["x-request-id"] == "m1"
+        retry.answer(200)
     await until(lambda: not field.relays[0].held_messages)
     assert field.platform.notices.empty()
 
 
-async def test_report_of_an_absurd_limit_ends_no_turn(field: Field) -> None:
-    """The time for one call was no number any more, and each turn from then on ended in an error."""
+async def test_absurd_reported_limit_raises_no_error(field: Field) -> None:
+    """The interval between calls became NaN or infinite, and each later planning pass raised an error."""
     client = await field.start()
     await client.enqueue("m1")
     (await field.host.next_call()).answer(503, "X-Server-Load: x0=0.4,x1=1e-310")
