--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""Use without the wire, bad input, and a random walk with an independent check of the rules."""
+"""The simulator's protocol, invalid input and random events with an independent check of the rules."""
 
 from __future__ import annotations
 
@@ -42,9 +42,9 @@
 )
 
 
-def serve(text: str) -> tuple[int, str]:
-    sink = streams.StringIO()
-    return wirehost.WireHost(streams.StringIO(text), sink).run(), sink.getvalue()
+def run_host(text: str) -> tuple[int, str]:
+    output = streams.StringIO()
+    return wirehost.WireHost(streams.StringIO(text), output).run(), output.getvalue()
 
 
 def test_process_answers_a_transcript() -> None:
@@ -62,10 +62,10 @@
     assert re.search(r"^pass_on call=r-a host=10\.0\.0\.1:80 stopAt=\d+$", run.stdout, re.M)
 
 
-def test_halt_and_up_in_one_batch_start_afresh() -> None:
+def test_halt_and_up_in_one_batch_start_a_new_instance() -> None:
     start = TRANSCRIPT.split("sync atTime=2000\n")[1].split("eob\n")[0]
     text = "sync atTime=1\n" + start + "eob\nsync atTime=2\ninstance relay=3\nhalt\n" + start + "eob\n"
-    status, out = serve(text)
+    status, out = run_host(text)
     assert status == 0 and out.count("pass_on call=r-a") == 2
 
 
@@ -80,15 +80,15 @@
         ("hello\n", "sync"),
     ],
 )
-def test_malformed_input_is_named_and_ends_the_process(
+def test_malformed_input_is_reported_and_ends_the_process(
     bad: str, word: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert serve(bad)[0] != 0
+    assert run_host(bad)[0] != 0
     err = capsys.readouterr().err
     assert word in err and err.startswith("line ")
 
 
-def test_wrong_settings_name_the_field() -> None:
+def test_invalid_settings_are_reported_with_the_field() -> None:
     for changes, field in (({"max_calls": 0}, "familyInfo.callsOut"), ({"relays": 0}, "relays")):
         with pytest.raises(ValueError, match=field):
             PacerHarness(endpoint_entry("a"), **changes)
@@ -98,25 +98,25 @@
 
 def test_module_stays_within_its_size() -> None:
     lines = (ROOT / "starlingwick" / "control.py").read_text().splitlines()
-    assert sum(1 for line in lines if line.strip()) <= 1200  # the operators run no longer one
+    assert sum(1 for line in lines if line.strip()) <= 1200  # the operators' limit
     for path in sorted((ROOT / "starlingwick").glob("*.py")):
         assert max(map(len, path.read_text().splitlines()), default=0) <= 110, path.name
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
-    def day() -> list[str]:
+    def run_scenario() -> list[str]:
         relay = PacerHarness(endpoint_entry("a"), endpoint_entry("b"))
-        seen: list[str] = []
+        actions_seen: list[str] = []
         for n in range(60):
             relay.handle(relay.message(n % 3), after=50 * MS)
-            seen += map(str, relay.actions)
+            actions_seen += map(str, relay.actions)
             status = io.Status.FULL if n % 5 == 0 else io.Status.OK
             for send in relay.sends():
                 relay.handle(relay.attempt_ended(send.message_id, status), after=10 * MS)
-                seen += map(str, relay.actions)
-        return seen
+                actions_seen += map(str, relay.actions)
+        return actions_seen
 
-    assert day() == day()
+    assert run_scenario() == run_scenario()
 
 
 STATUSES = [s for s in io.Status if s is not io.Status.MOOT]
@@ -124,12 +124,12 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 20), st.integers(1, 900)), max_size=80))
-def test_random_walks_keep_the_rules(steps: list[tuple[int, int, int]]) -> None:
+def test_random_event_sequences_keep_the_rules(steps: list[tuple[int, int, int]]) -> None:
     relay = PacerHarness(endpoint_entry("a"), endpoint_entry("b"), limits={"max_held": 30})
     ended: set[str] = set()
     unsafe_ran: set[str] = set()
     classes: dict[str, int] = {}
-    due: dict[str, int] = {}
+    deadlines: dict[str, int] = {}
     keyed: list[str] = []
     outstanding: dict[str, io.Send] = {}
     wait_until = 0
@@ -141,7 +141,7 @@
                 assert action.message_id not in ended and action.message_id not in outstanding
                 assert action.message_id not in unsafe_ran
                 assert relay.now >= wait_until or not batch_start
-                assert relay.now < due[action.message_id]
+                assert relay.now < deadlines[action.message_id]
                 if classes[action.message_id] == ORDERED:
                     before = keyed[: keyed.index(action.message_id)]
                     assert all(name in ended and name not in outstanding for name in before)
@@ -152,19 +152,22 @@
                     assert action.message_id not in unsafe_ran
                 ended.add(action.message_id)
 
-    for what, which, gap in steps:
+    for choice, which, gap in steps:
         relay.now += gap * MS
-        if what < 5 or not outstanding:
-            klass = (SAFE, 1, UNSAFE, ORDERED)[which % 4]
-            message = relay.message(klass, key="k" if klass == ORDERED else None)
-            classes[message.message_id], due[message.message_id] = klass, relay.now + message.time_left
-            if klass == ORDERED:
+        if choice < 5 or not outstanding:
+            class_index = (SAFE, 1, UNSAFE, ORDERED)[which % 4]
+            message = relay.message(class_index, key="k" if class_index == ORDERED else None)
+            classes[message.message_id], deadlines[message.message_id] = (
+                class_index,
+                relay.now + message.time_left,
+            )
+            if class_index == ORDERED:
                 keyed.append(message.message_id)
             relay.handle(message)
         else:
             name = sorted(outstanding)[which % len(outstanding)]
-            status = STATUSES[(which + what) % len(STATUSES)]
-            if relay.now >= due[name]:
+            status = STATUSES[(which + choice) % len(STATUSES)]
+            if relay.now >= deadlines[name]:
                 status = io.Status.TIMEOUT
             del outstanding[name]
             if status is io.Status.OK:
@@ -183,7 +186,7 @@
     for _ in range(len(outstanding)):
         name = next(iter(outstanding))
         del outstanding[name]
-        relay.now = max(relay.now, due[name])
+        relay.now = max(relay.now, deadlines[name])
         if classes[name] == UNSAFE:
             unsafe_ran.add(name)
         relay.handle(relay.attempt_ended(name, io.Status.TIMEOUT))
@@ -212,7 +215,7 @@
 def test_log_lines_named_on_the_page_are_written_by_the_module() -> None:
     page = (ROOT / "README.md").read_text().partition("## On call")[2]
     module = (ROOT / "starlingwick" / "control.py").read_text()
-    intro = page.split("\n\n")[1]
-    words = re.findall(r"`([a-z ]+)`", intro)
-    written = [*re.findall(r'self\.log\(f"([a-z ]+) dest=', module), *HEALTH_LOG_WORDS.values()]
-    assert words and sorted(words) == sorted(written)
+    introduction = page.split("\n\n")[1]
+    words = re.findall(r"`([a-z ]+)`", introduction)
+    log_words = [*re.findall(r'self\.log\(f"([a-z ]+) dest=', module), *HEALTH_LOG_WORDS.values()]
+    assert words and sorted(words) == sorted(log_words)
