--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -98,7 +98,7 @@
 
 def test_module_stays_within_its_size() -> None:
     lines = (ROOT / "starlingwick" / "control.py").read_text().splitlines()
-    assert sum(1 for line in lines if line.strip()) <= 1200  # the operators' limit
+    assert sum(1 for line in lines if line.strip()) <= 1200  # limit set by the operators
     for path in sorted((ROOT / "starlingwick").glob("*.py")):
         assert max(map(len, path.read_text().splitlines()), default=0) <= 110, path.name
 
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -94,8 +94,8 @@
 ) -> None:
     """The next process starts 0.6 s after SIGKILL or the end by SIGTERM.
 
-    A message that it may not repeat ends by one notice at once, not at its deadline. An unsafe message is never
-    sent again.
+    A message that it may not repeat ends by one notice at once, not at its deadline. An unsafe message is
+    never sent again.
     """
     set_short_window(field, scope)
     sends, _ = await start_with_calls(field, process, "keyed", "unsafe")
